--- a/Makefile
+++ b/Makefile
@@ -4,8 +4,9 @@
 # Tools are built from the tools module, so that they do not weigh on go.mod.
 BIN := $(CURDIR)/bin
 LINT := $(BIN)/golangci-lint
+GOPLS := $(BIN)/gopls
 
-.PHONY: all build check test race lint format generate bench fuzz soak
+.PHONY: all build check test race lint format generate bench fuzz soak gopls
 
 all: check test
 
@@ -15,6 +16,13 @@
 $(LINT): tools/go.mod tools/go.sum
 	cd tools && go build -o $(BIN)/ github.com/golangci/golangci-lint/v2/cmd/golangci-lint
 
+# Renames identifiers: bin/gopls rename -w FILE:LINE:COLUMN NEW. It has a module of
+# its own, since it needs an older golang.org/x/tools than the linter.
+gopls: $(GOPLS)
+
+$(GOPLS): tools/gopls/go.mod tools/gopls/go.sum
+	cd tools/gopls && go build -o $(GOPLS) golang.org/x/tools/gopls
+
 check: $(LINT)
 	@test -z "$$(gofmt -l $$(git ls-files '*.go'))" || (gofmt -l $$(git ls-files '*.go'); exit 1)
 	scripts/check-names.sh
