--- a/coordination/placement/fleet.go
+++ b/coordination/placement/fleet.go
@@ -31,7 +31,7 @@
 
 // hashedHolder returns the worker to which hashing assigns a key of a region's callers.
 func hashedHolder(key demand.Key, s *Snapshot, workers []*worker.Worker) (id string, ok bool) {
-	region := balanceRegions(key.Region, s, workers, Request{Service: key.Service, Key: key.Hash}).region
+	region := assignRegion(key.Region, s, workers, Request{Service: key.Service, Key: key.Hash}).region
 	best := uint64(0)
 	for _, w := range workers {
 		if w.Region != region {
--- a/coordination/placement/handover.go
+++ b/coordination/placement/handover.go
@@ -19,7 +19,8 @@
 const (
 	// handoverDecay is the time constant with which the probability of sending a request
 	// to the next holder decays, counted from when a VM learns that the worker is shutting
-	// down. Over all VMs of a region this amounts to the requests of that time.
+	// down. In total, the VMs of a region send about as many requests early as arrive in
+	// that time.
 	handoverDecay = 300 * time.Millisecond
 	// minHandoverProbability is the lower bound of that probability. It covers keys that
 	// had no request to the next holder before.
--- a/coordination/placement/placement.go
+++ b/coordination/placement/placement.go
@@ -269,7 +269,7 @@
 	if len(workers.resting) > 0 && refusal != RefusalCold {
 		// Too few workers are available there for the keys of the resting ones.
 		if others := outsideRegion(workers.available, dest.region); len(others) > 0 {
-			return p.chooseAtDestination(s, r, others, p.balancedDestination(balanceRegions(p.cfg.Region, s, others, r)))
+			return p.chooseAtDestination(s, r, others, p.balancedDestination(assignRegion(p.cfg.Region, s, others, r)))
 		}
 	}
 	if refusal != RefusalCold {
@@ -281,7 +281,7 @@
 	if len(warm) == 0 {
 		return choice, RefusalCold
 	}
-	return p.chooseAtDestination(s, r, warm, p.balancedDestination(balanceRegions(p.cfg.Region, s, warm, r)))
+	return p.chooseAtDestination(s, r, warm, p.balancedDestination(assignRegion(p.cfg.Region, s, warm, r)))
 }
 
 // chooseOtherRegion tries the other regions one by one for a request that was denied a
@@ -293,7 +293,7 @@
 		if len(others) == 0 {
 			break
 		}
-		dest = p.balancedDestination(balanceRegions(p.cfg.Region, s, others, r))
+		dest = p.balancedDestination(assignRegion(p.cfg.Region, s, others, r))
 		choice, refusal := p.chooseAtDestination(s, r, others, dest)
 		if refusal == RefusalNone {
 			return choice, refusal
@@ -342,8 +342,8 @@
 		if !ok {
 			break
 		}
-		if search.admits(w, region) {
-			return p.choiceOf(w, search.considered), RefusalNone
+		if search.tryAdmit(w, region) {
+			return p.beginRequest(w, search.considered), RefusalNone
 		}
 	}
 	return Choice{considered: search.considered, retryAfter: search.retryAfter}, search.refusal()
@@ -358,13 +358,13 @@
 	})
 }
 
-func (p *Placer) choiceOf(w *worker.Worker, considered []Considered) Choice {
+func (p *Placer) beginRequest(w *worker.Worker, considered []Considered) Choice {
 	load := p.cfg.Loads.Of(w.Life())
 	load.Begin()
 	return Choice{worker: w, load: load, remote: w.Region != p.cfg.Region, considered: considered}
 }
 
-// mix is a finalizer that lets every input bit affect all output bits.
+// mix is a hash finalizer, which lets every input bit affect all output bits.
 func mix(h uint64) uint64 {
 	h ^= h >> 32
 	h *= 0xd6e8feb86659fd93
--- a/coordination/placement/ranking.go
+++ b/coordination/placement/ranking.go
@@ -34,21 +34,21 @@
 
 // first returns the best remaining worker.
 func (r *ranking) first() (*worker.Worker, bool) {
-	at := r.bestIndex()
-	if at < 0 {
+	i := r.bestIndex()
+	if i < 0 {
 		return nil, false
 	}
-	return r.remaining[at].worker, true
+	return r.remaining[i].worker, true
 }
 
 // next removes and returns the best remaining worker.
 func (r *ranking) next() (*worker.Worker, bool) {
-	at := r.bestIndex()
-	if at < 0 {
+	i := r.bestIndex()
+	if i < 0 {
 		return nil, false
 	}
-	w, last := r.remaining[at].worker, len(r.remaining)-1
-	r.remaining[at] = r.remaining[last]
+	w, last := r.remaining[i].worker, len(r.remaining)-1
+	r.remaining[i] = r.remaining[last]
 	r.remaining = r.remaining[:last]
 	return w, true
 }
@@ -82,8 +82,8 @@
 	if !ok {
 		return list
 	}
-	if at := slices.IndexFunc(list.remaining, func(c candidate) bool { return c.worker.ID == holder }); at >= 0 {
-		list.remaining[at].weight = math.MaxUint64
+	if i := slices.IndexFunc(list.remaining, func(c candidate) bool { return c.worker.ID == holder }); i >= 0 {
+		list.remaining[i].weight = math.MaxUint64
 	}
 	return list
 }
--- a/coordination/placement/search.go
+++ b/coordination/placement/search.go
@@ -68,8 +68,8 @@
 // done reports whether no further worker should be checked.
 func (s *search) done() bool { return s.full >= len(s.limits) }
 
-// admits reports whether a worker may get the request, and records the reason if not.
-func (s *search) admits(w *worker.Worker, region string) bool {
+// tryAdmit reports whether a worker may get the request, and records the reason if not.
+func (s *search) tryAdmit(w *worker.Worker, region string) bool {
 	p := s.placer
 	perS, limited := p.cfg.Loads.RateLimit(w)
 	if limited && s.denied >= s.denialLimit {
--- a/coordination/placement/search_test.go
+++ b/coordination/placement/search_test.go
@@ -49,7 +49,7 @@
 		"one region":                           {[]string{"north"}, nil, "", placement.RefusalNone, []string{"south", "east"}},
 		"a region with permits for one worker": {[]string{"north"}, []string{"north-1"}, "", placement.RefusalNone, []string{"north"}},
 		"the only allowed region":              {[]string{"north"}, nil, "north", placement.RefusalLimited, nil},
-		"all regions":                          {all, nil, "", placement.RefusalLimited, nil},
+		"all":                                  {all, nil, "", placement.RefusalLimited, nil},
 		"all regions, permits in another one":  {all, []string{"south-0", "south-1", "south-2", "south-3"}, "", placement.RefusalNone, []string{"south"}},
 		"a region that is not allowed":         {[]string{"south"}, nil, "north", placement.RefusalNone, []string{"north"}},
 	}
--- a/coordination/placement/share.go
+++ b/coordination/placement/share.go
@@ -29,8 +29,8 @@
 	return slots, total
 }
 
-// regionShare is the region that the balancing between regions assigns to a key.
-type regionShare struct {
+// regionAssignment is the region that the balancing between regions assigns to a key.
+type regionAssignment struct {
 	region string
 	// position is the position of the key from 0 to 1. The region keeps its keys below
 	// keptShare.
@@ -40,7 +40,7 @@
 }
 
 // reason explains why a key is assigned to another region, or returns "" if it is not.
-func (s regionShare) reason(home string) string {
+func (s regionAssignment) reason(home string) string {
 	if s.region == home {
 		return ""
 	}
@@ -48,7 +48,7 @@
 		home, s.homeSlots, s.totalSlots, 100*s.keptShare, s.region)
 }
 
-// balanceRegions returns the region whose workers hold the key for requests that arrive in
+// assignRegion returns the region whose workers hold the key for requests that arrive in
 // the home region. Every region is assumed to receive an equal share of the requests. A
 // region with fewer slots than its share sends the rest of its keys to regions with
 // surplus slots, in proportion to the surplus. The result depends only on the key and the
@@ -56,7 +56,7 @@
 //
 // Slots needed by requests that are pinned to a region are not available to other
 // requests. Otherwise a small region would keep too many keys and refuse requests.
-func balanceRegions(home string, s *Snapshot, workers []*worker.Worker, r Request) regionShare {
+func assignRegion(home string, s *Snapshot, workers []*worker.Worker, r Request) regionAssignment {
 	regions := s.Regions
 	slots, total := slotsByRegion(workers, len(regions))
 	if r.unrestricted(regions) {
@@ -70,7 +70,7 @@
 	}
 	fair := total / float64(max(sources, 1))
 	hash := mix(r.Key ^ xxhash.Sum64String(r.Service))
-	result := regionShare{region: home, position: unitInterval(hash), keptShare: min(1, slots[home]/fair), homeSlots: slots[home], totalSlots: total}
+	result := regionAssignment{region: home, position: unitInterval(hash), keptShare: min(1, slots[home]/fair), homeSlots: slots[home], totalSlots: total}
 	if result.position >= result.keptShare {
 		// An independent hash, so that a change of keptShare does not reassign the keys
 		// that were sent to other regions before.
@@ -93,8 +93,8 @@
 // requests that is pinned to each region, and returns the number of subtracted slots.
 func subtractPinned(slots map[string]float64, total float64, pinned map[string]float64) float64 {
 	subtracted := 0.0
-	for region, part := range pinned {
-		n := min(part*total, slots[region])
+	for region, fraction := range pinned {
+		n := min(fraction*total, slots[region])
 		slots[region] -= n
 		subtracted += n
 	}
--- a/coordination/placement/split.go
+++ b/coordination/placement/split.go
@@ -50,16 +50,16 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	ahead := s.surplusOf(r)
-	own := ownTarget(r.Targets, total, key)
-	if ahead[own] > splitSlack {
-		own = leastServed(r.Targets, ahead)
+	surplus := s.surplusOf(r)
+	chosen := ownTarget(r.Targets, total, key)
+	if surplus[chosen] > splitSlack {
+		chosen = leastServed(r.Targets, surplus)
 	}
 	for i, t := range r.Targets {
-		ahead[i] = (ahead[i] - t.Weight/total) * (1 - 1.0/splitWindow)
+		surplus[i] = (surplus[i] - t.Weight/total) * (1 - 1.0/splitWindow)
 	}
-	ahead[own]++
-	return r.Targets[own].Service
+	surplus[chosen]++
+	return r.Targets[chosen].Service
 }
 
 // surplusOf returns the surplus by target of a route. It is reset when the weights change.
@@ -105,10 +105,10 @@
 	return len(targets) - 1
 }
 
-func leastServed(targets []route.Target, ahead []float64) int {
+func leastServed(targets []route.Target, surplus []float64) int {
 	best := -1
 	for i, t := range targets {
-		if t.Weight > 0 && (best < 0 || ahead[i] < ahead[best]) {
+		if t.Weight > 0 && (best < 0 || surplus[i] < surplus[best]) {
 			best = i
 		}
 	}
--- a/coordination/placement/steer.go
+++ b/coordination/placement/steer.go
@@ -32,10 +32,10 @@
 
 // chooseDestination chooses the destination of a request: first by the balancing between
 // regions, within the caps of the hall that would hold the key at home, then by the moves
-// out of the hall that holds it. Requests from a region without workers and retries are
-// neither moved nor counted against caps; retries were counted before.
+// out of the hall that holds it. A region without workers sends all requests away,
+// regardless of its caps. Retries are not steered, since they were counted before.
 func (p *Placer) chooseDestination(s *Snapshot, r Request, workers []*worker.Worker) destination {
-	balanced := balanceRegions(p.cfg.Region, s, workers, r)
+	balanced := assignRegion(p.cfg.Region, s, workers, r)
 	if !s.hasMovesOrCaps() || len(r.Tried) > 0 {
 		return p.balancedDestination(balanced)
 	}
@@ -48,8 +48,8 @@
 		// of keys is stable.
 		within := balanced.position >= 1-float64(c.Limit())/float64(share.Whole)
 		if !within || !c.SpendCaps() {
-			why := fmt.Sprintf("balance: kept in %s by a cap of %s", p.cfg.Region, c.Limit())
-			return applyMove(destination{region: p.cfg.Region, reason: why}, c, hall)
+			reason := fmt.Sprintf("balance: kept in %s by a cap of %s", p.cfg.Region, c.Limit())
+			return applyMove(destination{region: p.cfg.Region, reason: reason}, c, hall)
 		}
 	}
 	c, hall := p.countArrival(s, r, workers, balanced.region)
@@ -57,7 +57,7 @@
 }
 
 // balancedDestination returns the destination given by the balancing between regions.
-func (p *Placer) balancedDestination(s regionShare) destination {
+func (p *Placer) balancedDestination(s regionAssignment) destination {
 	return destination{region: s.region, reason: s.reason(p.cfg.Region), leavesHome: s.region != p.cfg.Region}
 }
 
--- a/coordination/spread/spread.go
+++ b/coordination/spread/spread.go
@@ -1,7 +1,7 @@
 // Copyright 2026 The ryehill Authors
 // SPDX-License-Identifier: Apache-2.0
 
-// Package spread stores the configuration of one process and replicates it to others.
+// Package spread stores the configuration of one process and the changes to replicate.
 //
 // The platform assigns each write a revision that increases across all objects. A Store
 // holds the latest version of each object, from any source, and the revision up to which
--- a/coordination/steer/steer.go
+++ b/coordination/steer/steer.go
@@ -3,11 +3,11 @@
 
 // Package steer decides, for each request, whether a move sends it to another hall.
 //
-// The decision is made in the client's home hall, where both all requests and moved
-// requests are counted, so that each VM enforces the cap of a move without coordination. A
-// request is moved if the client is within the share of a move, a slot at the target is
-// available, and every cap allows it. Otherwise it runs at home, and the rule that kept it
-// there is reported.
+// The decision is made in the client's home hall, where total and moved requests are
+// counted, so that each VM enforces the cap of a move without coordination. A request is
+// moved if the client is within the share of a move, a slot at the target is available,
+// and every cap allows it. Otherwise it runs at home, and the rule that kept it there is
+// reported.
 //
 // # Usage
 //
--- a/coordination/steer/steer_test.go
+++ b/coordination/steer/steer_test.go
@@ -89,7 +89,7 @@
 	}
 }
 
-func BenchmarkArrive(b *testing.B) {
+func BenchmarkEvaluate(b *testing.B) {
 	v := newView(b, spec.Traffic{Moves: []spec.Move{newMove("m", 200_000, 100_000)}})
 	s := steer.New(steer.Config{Hall: "a"})
 	b.ReportAllocs()
--- a/coordination/traffic/traffic_test.go
+++ b/coordination/traffic/traffic_test.go
@@ -65,7 +65,7 @@
 	return intent.Apply(intent.Plan{ID: "p", Edit: 0, Cap: &spec.Cap{ID: "p", Limit: share.Percent}}, t, time.Now())
 }
 
-func TestChange(t *testing.T) {
+func TestUpdate(t *testing.T) {
 	step := func(m *memoryStore) { m.version++ }
 	operator := func(m *memoryStore) { m.version++; m.traffic.Edit++ }
 	cases := map[string]struct {
--- a/coordination/tree/tree.go
+++ b/coordination/tree/tree.go
@@ -28,8 +28,8 @@
 )
 
 // FanOut is the number of children that one VM should serve at most. A region of up to
-// this size has only a root. It keeps the CPU time spent on long polls of children low on
-// a small VM.
+// this size has only a root. The bound limits the CPU time that a small VM spends on long
+// polls of its children.
 const FanOut = 32
 
 // VM is a VM of the region.
@@ -101,19 +101,19 @@
 // least half the bandwidth of the fastest link, then the others, both by rendezvous
 // hashing.
 func Ranked(item string, vms []VM) []string {
-	widest := 0
+	maxMbps := 0
 	for _, vm := range vms {
-		widest = max(widest, vm.LinkMbps)
+		maxMbps = max(maxMbps, vm.LinkMbps)
 	}
-	var wide, narrow []string
+	var fast, slow []string
 	for _, vm := range vms {
-		if 2*vm.LinkMbps >= widest {
-			wide = append(wide, vm.ID)
+		if 2*vm.LinkMbps >= maxMbps {
+			fast = append(fast, vm.ID)
 		} else {
-			narrow = append(narrow, vm.ID)
+			slow = append(slow, vm.ID)
 		}
 	}
-	return append(assign.Ranked(item, wide), assign.Ranked(item, narrow)...)
+	return append(assign.Ranked(item, fast), assign.Ranked(item, slow)...)
 }
 
 func hallOf(id string, vms []VM) string {
--- a/coordination/tree/tree_test.go
+++ b/coordination/tree/tree_test.go
@@ -11,13 +11,13 @@
 	"github.com/ryehill/ryehill/coordination/tree"
 )
 
-// newRegion returns the VMs of a region; the first wide VMs of each hall have fast links.
-func newRegion(halls, vms, wide int) []tree.VM {
+// newRegion returns the VMs of a region; the first VMs of each hall have fast links.
+func newRegion(halls, vms, fast int) []tree.VM {
 	var all []tree.VM
 	for h := range halls {
 		for i := range vms {
 			vm := tree.VM{ID: fmt.Sprintf("h%d-%d", h, i), Hall: fmt.Sprintf("h%d", h), LinkMbps: 20}
-			if i < wide {
+			if i < fast {
 				vm.LinkMbps = 200
 			}
 			all = append(all, vm)
@@ -28,18 +28,18 @@
 
 // Guards against cycles, deep trees and VMs with too many children.
 func TestDepthAndFanOut(t *testing.T) {
-	cases := map[string]struct{ halls, vms, wide, depth, maxChildren int }{
-		"one VM":              {halls: 1, vms: 1, wide: 1, depth: 0, maxChildren: 0},
-		"a small region":      {halls: 2, vms: 14, wide: 2, depth: 1, maxChildren: 27},
-		"three halls of 33":   {halls: 3, vms: 33, wide: 3, depth: 2, maxChildren: 34},
-		"three halls of 146":  {halls: 3, vms: 146, wide: 10, depth: 3, maxChildren: 50},
-		"one hall of 99":      {halls: 1, vms: 99, wide: 9, depth: 2, maxChildren: 45},
-		"unknown bandwidth":   {halls: 3, vms: 33, wide: 0, depth: 2, maxChildren: 34},
-		"one VM in each hall": {halls: 40, vms: 1, wide: 1, depth: 1, maxChildren: 39},
+	cases := map[string]struct{ halls, vms, fast, depth, maxChildren int }{
+		"one VM":              {halls: 1, vms: 1, fast: 1, depth: 0, maxChildren: 0},
+		"a small region":      {halls: 2, vms: 14, fast: 2, depth: 1, maxChildren: 27},
+		"three halls of 33":   {halls: 3, vms: 33, fast: 3, depth: 2, maxChildren: 34},
+		"three halls of 146":  {halls: 3, vms: 146, fast: 10, depth: 3, maxChildren: 50},
+		"one hall of 99":      {halls: 1, vms: 99, fast: 9, depth: 2, maxChildren: 45},
+		"unknown bandwidth":   {halls: 3, vms: 33, fast: 0, depth: 2, maxChildren: 34},
+		"one VM in each hall": {halls: 40, vms: 1, fast: 1, depth: 1, maxChildren: 39},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
-			vms := newRegion(c.halls, c.vms, c.wide)
+			vms := newRegion(c.halls, c.vms, c.fast)
 			places := make(map[string]tree.Place, len(vms))
 			children := make(map[string]int)
 			for _, vm := range vms {
@@ -65,7 +65,7 @@
 }
 
 // Guards against parents with slow links.
-func TestParentsHaveWideLinks(t *testing.T) {
+func TestParentsHaveFastLinks(t *testing.T) {
 	vms := newRegion(3, 33, 3)
 	for _, vm := range vms {
 		parent := tree.Of(vm.ID, "north", vms).Parent
--- a/scripts/switch-off.sh
+++ b/scripts/switch-off.sh
@@ -83,7 +83,7 @@
 off cold-isolated coordination/placement/cold.go 'if 2*len(live) < listed {' 'if false && 2*len(live) < listed {' ./coordination/placement 'TestColdRateOfAllVMs|TestColdRateOfIsolatedVMs'
 off closed-halls coordination/placement/handover.go '|| s.Closed[w.Hall] && !s.Closing[w.Hall].Open(now)' '' ./coordination/placement TestIneligibleWorkersGetNothing
 off homes coordination/placement/placement.go 'r.Allows != nil && !r.Allows(w.Region) {' 'r.Allows != nil && r.Allows == nil {' ./coordination/placement TestRegionsShare
-off split-corrects coordination/placement/split.go 'if ahead[own] > splitSlack {' 'if false && ahead[own] > splitSlack {' ./coordination/placement TestSplit
+off split-corrects coordination/placement/split.go 'if surplus[chosen] > splitSlack {' 'if false && surplus[chosen] > splitSlack {' ./coordination/placement TestSplit
 off stale-calls-store internal/gateway/watch.go 'case time.Since(g.replica.Confirmed(kind)) >= g.cfg.StaleAfter:' 'case time.Since(g.replica.Confirmed(kind)) >= 100*g.cfg.StaleAfter:' ./internal/gateway TestChangesDoNotRestOnTheWatcher
 off older-config internal/gateway/compile.go 'if c.routes != nil && cfg.Version < c.routes.Version() {' 'if false && cfg.Version < c.routes.Version() {' ./internal/gateway TestWorkersAndHalls
 off replica-list-leaves-a-gap state/object/kind.go 'k.gaps = append(k.gaps, gap{from: k.at, to: to})' '_ = gap{from: k.at, to: to}' ./state/object TestListHidesWhatCameAndWent
