--- a/coordination/placement/handover_test.go
+++ b/coordination/placement/handover_test.go
@@ -118,19 +118,19 @@
 	l.play(random, 8*time.Second, func(int) *placement.Snapshot { return initial })
 	l.late, l.sent = 0, 0
 	began := l.clock.Now()
-	heard := make([]time.Time, loadVMs)
+	learnedAt := make([]time.Time, loadVMs)
 	after := make([]*placement.Snapshot, loadVMs)
 	last := began
-	for vm := range heard {
-		heard[vm] = began.Add(time.Duration(random.IntN(50)) * loadStep)
-		ending := worker.Ending{Heard: heard[vm], Until: heard[vm].Add(drainTime)}
+	for vm := range learnedAt {
+		learnedAt[vm] = began.Add(time.Duration(random.IntN(50)) * loadStep)
+		ending := worker.Ending{Heard: learnedAt[vm], Until: learnedAt[vm].Add(drainTime)}
 		if ending.Until.After(last) {
 			last = ending.Until
 		}
 		after[vm] = loadSnapshot(loadWorkers/5, ending)
 	}
 	l.play(random, 8*time.Second, func(vm int) *placement.Snapshot {
-		if l.clock.Now().Before(heard[vm]) {
+		if l.clock.Now().Before(learnedAt[vm]) {
 			return initial
 		}
 		return after[vm]
