--- a/coordination/assign/assign.go
+++ b/coordination/assign/assign.go
@@ -32,7 +32,7 @@
 	sorted := slices.Clone(items)
 	slices.Sort(sorted)
 	for _, item := range sorted {
-		for _, vm := range Ranked(item, vms) {
+		for _, vm := range Rank(item, vms) {
 			if counts[vm] < maxItems {
 				owners[item] = vm
 				counts[vm]++
@@ -54,8 +54,8 @@
 	return cmp.Or(cmp.Compare(other.weight, w.weight), cmp.Compare(w.vm, other.vm))
 }
 
-// Ranked returns the VMs in order of preference for an item, best first.
-func Ranked(item string, vms []string) []string {
+// Rank returns the VMs in order of preference for an item, best first.
+func Rank(item string, vms []string) []string {
 	list := weighVMs(item, vms)
 	slices.SortFunc(list, weightedVM.compare)
 	ranked := make([]string, len(list))
@@ -70,7 +70,7 @@
 	if n == 1 && len(vms) > 0 {
 		return []string{slices.MinFunc(weighVMs(item, vms), weightedVM.compare).vm}
 	}
-	ranked := Ranked(item, vms)
+	ranked := Rank(item, vms)
 	return ranked[:min(n, len(ranked))]
 }
 
--- a/coordination/placement/cold.go
+++ b/coordination/placement/cold.go
@@ -29,21 +29,21 @@
 	Live(region string) (ids []string, listed int)
 }
 
-// ColdConfig configures a ColdLimiter. All fields are required.
-type ColdConfig struct {
+// ColdLimiterConfig configures a ColdLimiter. All fields are required.
+type ColdLimiterConfig struct {
 	VM     string
 	Region string
 	Peers  Peers
 	Now    func() time.Time
 }
 
-// Cold limits the request rate to cold workers, summed over all VMs, to what such a worker
+// ColdLimiter limits the request rate to cold workers, summed over all VMs, to what such a worker
 // can take. Each cold worker has one owner, a VM of its region chosen by rendezvous
 // hashing over the live VMs, and only the owner sends to it. A VM that sees less than half
 // of the listed VMs of its region may be partitioned from the others: it owns no workers
 // and uses a small even share of the rate. It is safe for concurrent use.
-type Cold struct {
-	cfg ColdConfig
+type ColdLimiter struct {
+	cfg ColdLimiterConfig
 
 	mu      sync.Mutex
 	buckets map[string]*bucket
@@ -57,12 +57,14 @@
 // maxBuckets bounds the table, which is cleared when it is full.
 const maxBuckets = 4096
 
-// NewCold returns a ColdLimiter without buckets.
-func NewCold(cfg ColdConfig) *Cold { return &Cold{cfg: cfg, buckets: make(map[string]*bucket)} }
+// NewColdLimiter returns a ColdLimiter without buckets.
+func NewColdLimiter(cfg ColdLimiterConfig) *ColdLimiter {
+	return &ColdLimiter{cfg: cfg, buckets: make(map[string]*bucket)}
+}
 
-// Take reports whether this VM may now send one request to a cold worker that takes rate
+// Allow reports whether this VM may now send one request to a cold worker that takes rate
 // requests per second, and counts the request.
-func (c *Cold) Take(w *worker.Worker, rate float64) bool {
+func (c *ColdLimiter) Allow(w *worker.Worker, rate float64) bool {
 	if w.Region != c.cfg.Region {
 		return false
 	}
@@ -80,7 +82,7 @@
 }
 
 // takeToken takes a token from a worker's bucket. A new bucket starts with initial tokens.
-func (c *Cold) takeToken(id string, rate, initial float64) bool {
+func (c *ColdLimiter) takeToken(id string, rate, initial float64) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	now := c.cfg.Now()
--- a/coordination/placement/fleet.go
+++ b/coordination/placement/fleet.go
@@ -20,7 +20,7 @@
 			continue
 		}
 		_, ready := p.cfg.Loads.Standing(w, now).(worker.Ready)
-		fleet.Workers[w.Service] = append(fleet.Workers[w.Service], balance.Worker{Worker: *w, Full: !ready || p.Cold(s, w)})
+		fleet.Workers[w.Service] = append(fleet.Workers[w.Service], balance.Worker{Worker: *w, Full: !ready || p.IsCold(s, w)})
 		candidates[w.Service] = append(candidates[w.Service], w)
 	}
 	fleet.Hashed = func(key demand.Key) (string, bool) {
--- a/coordination/placement/handover_test.go
+++ b/coordination/placement/handover_test.go
@@ -45,9 +45,9 @@
 		ends: make(map[time.Time][]func()), lastArrival: make(map[string]time.Time),
 	}
 	for range loadVMs {
-		cold := placement.NewCold(placement.ColdConfig{VM: "vm", Region: "north", Peers: singleVM{}, Now: l.clock.Now})
+		cold := placement.NewColdLimiter(placement.ColdLimiterConfig{VM: "vm", Region: "north", Peers: singleVM{}, Now: l.clock.Now})
 		l.placers = append(l.placers, placement.New(placement.Config{
-			Hall: "north-a", Region: "north", Loads: worker.NewLoads(l.clock.Now), Cold: cold, Steerer: steer.New(steer.Config{Hall: "north-a"}), Now: l.clock.Now,
+			Hall: "north-a", Region: "north", Loads: worker.NewLoads(l.clock.Now), ColdLimiter: cold, Steerer: steer.New(steer.Config{Hall: "north-a"}), Now: l.clock.Now,
 		}))
 	}
 	return l
--- a/coordination/placement/holders_test.go
+++ b/coordination/placement/holders_test.go
@@ -17,9 +17,9 @@
 // newFixtureWithHolders returns a fixture whose placer uses the returned holder table.
 func newFixtureWithHolders(counts map[string]int, change func(*worker.Worker)) (*fixture, *holders.Table) {
 	f, table := newFixture(counts, change), holders.NewTable()
-	cold := placement.NewCold(placement.ColdConfig{VM: "vm", Region: "north", Peers: singleVM{}, Now: f.clock.Now})
+	cold := placement.NewColdLimiter(placement.ColdLimiterConfig{VM: "vm", Region: "north", Peers: singleVM{}, Now: f.clock.Now})
 	f.placer = placement.New(placement.Config{
-		Hall: "north-a", Region: "north", Loads: f.loads, Cold: cold, Steerer: steer.New(steer.Config{Hall: "north-a"}),
+		Hall: "north-a", Region: "north", Loads: f.loads, ColdLimiter: cold, Steerer: steer.New(steer.Config{Hall: "north-a"}),
 		Now: f.clock.Now, Holders: table,
 	})
 	return f, table
--- a/coordination/placement/pinned_test.go
+++ b/coordination/placement/pinned_test.go
@@ -17,7 +17,7 @@
 func refusedRatio(pinned map[string]float64) float64 {
 	const run, seconds = 160 * time.Millisecond, 10
 	f := newFixture(map[string]int{"north": 2, "south": 9, "east": 9}, nil)
-	f.snapshot.Bound = pinned
+	f.snapshot.PinnedShares = pinned
 	random := rand.New(rand.NewPCG(3, 4))
 	ends := make(map[time.Time][]func())
 	sent, refused := 0, 0
@@ -73,7 +73,7 @@
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
 			f := newFixture(counts, nil)
-			f.snapshot.Bound = c.pinned
+			f.snapshot.PinnedShares = c.pinned
 			r := placement.Request{Service: "read", Keyed: true}
 			if c.homes != nil {
 				r.Allows = func(region string) bool { return region == c.homes[0] }
--- a/coordination/placement/placement.go
+++ b/coordination/placement/placement.go
@@ -83,17 +83,17 @@
 	Closed map[string]bool
 	// Closing contains the deadlines of the workers of closed halls.
 	Closing map[string]worker.Ending
-	// WarmAt contains the time until which all workers of a hall are treated as cold,
+	// HallColdUntil contains the time until which all workers of a hall are treated as cold,
 	// regardless of their own entries.
-	WarmAt map[string]time.Time
+	HallColdUntil map[string]time.Time
 	// Regions contains all regions of the fleet, sorted by name.
 	Regions []string
 	// Traffic contains the operators' moves and caps. Nil means none.
 	Traffic *view.View
-	// Bound contains, by region, the fraction of all requests, from 0 to 1, that is
+	// PinnedShares contains, by region, the fraction of all requests, from 0 to 1, that is
 	// expected to be pinned to the region by the home regions of workspaces. Nil means
 	// none.
-	Bound map[string]float64
+	PinnedShares map[string]float64
 }
 
 // Request describes a request to place.
@@ -138,8 +138,8 @@
 	Region string
 	// Busy is the estimated number of requests at the worker, and MaxBusy the limit below
 	// which it would have been chosen. Both are 0 for a cold worker.
-	Busy, Room float64
-	Cold       bool
+	Busy, MaxBusy float64
+	Cold          bool
 	// Limited is set if no permit was available for the worker. PerS is the rate that it
 	// takes from all VMs, in requests per second.
 	Limited bool
@@ -154,7 +154,7 @@
 	if c.Limited {
 		return fmt.Sprintf("%s in %s: takes %.1f a second from all VMs, used up", c.ID, c.Region, c.PerS)
 	}
-	return fmt.Sprintf("%s in %s: %.1f busy, room below %.1f", c.ID, c.Region, c.Busy, c.Room)
+	return fmt.Sprintf("%s in %s: %.1f busy, room below %.1f", c.ID, c.Region, c.Busy, c.MaxBusy)
 }
 
 // Worker returns the chosen worker, or the zero value if none was chosen.
@@ -172,17 +172,17 @@
 // chosen.
 func (c Choice) Considered() []Considered { return c.considered }
 
-// Steered explains why the request runs outside its home or why a cap keeps it there. It
+// SteeringReason explains why the request runs outside its home or why a cap keeps it there. It
 // is empty if neither applies.
-func (c Choice) Steered() string { return c.steeringReason }
+func (c Choice) SteeringReason() string { return c.steeringReason }
 
-// Wait returns the time after which a worker may accept the request, if it was refused
+// RetryAfter returns the time after which a worker may accept the request, if it was refused
 // because of a resting or rate-limited worker, and 0 otherwise.
-func (c Choice) Wait() time.Duration { return c.retryAfter }
+func (c Choice) RetryAfter() time.Duration { return c.retryAfter }
 
-// PassedOver describes the worker that would hold the request's key, if it was skipped
+// SkippedHolder describes the worker that would hold the request's key, if it was skipped
 // because it is resting or shutting down. Otherwise it is empty.
-func (c Choice) PassedOver() string { return c.skippedHolder }
+func (c Choice) SkippedHolder() string { return c.skippedHolder }
 
 // Moved reports whether a move or the balancing between regions sent the request out of
 // the hall that would hold its key at home.
@@ -197,7 +197,7 @@
 	// Hall and Region are those of this VM.
 	Hall, Region string
 	Loads        *worker.Loads
-	Cold         *Cold
+	ColdLimiter  *ColdLimiter
 	// Steerer counts requests against the operators' moves and caps.
 	Steerer *steer.Steerer
 	Now     func() time.Time
@@ -277,7 +277,7 @@
 	}
 	// All workers of the region are cold, for example after a closed hall has reopened.
 	// Workers elsewhere that held its keys in the meantime are warm.
-	warm := slices.DeleteFunc(workers.available, func(w *worker.Worker) bool { return p.Cold(s, w) })
+	warm := slices.DeleteFunc(workers.available, func(w *worker.Worker) bool { return p.IsCold(s, w) })
 	if len(warm) == 0 {
 		return choice, RefusalCold
 	}
@@ -312,10 +312,10 @@
 	}
 }
 
-// Cold reports whether a worker is treated as cold.
-func (p *Placer) Cold(s *Snapshot, w *worker.Worker) bool {
+// IsCold reports whether a worker is treated as cold.
+func (p *Placer) IsCold(s *Snapshot, w *worker.Worker) bool {
 	now := p.cfg.Now()
-	if now.Before(w.ColdUntil) || now.Before(s.WarmAt[w.Hall]) {
+	if now.Before(w.ColdUntil) || now.Before(s.HallColdUntil[w.Hall]) {
 		return true
 	}
 	load, limited := p.cfg.Loads.Limited()[w.Life()]
@@ -349,12 +349,12 @@
 	return Choice{considered: search.considered, retryAfter: search.retryAfter}, search.refusal()
 }
 
-// Room reports whether any warm worker without a rate limit in the VM's region that may
+// HasCapacity reports whether any warm worker without a rate limit in the VM's region that may
 // get the request has a free slot, whether or not it holds the key.
-func (p *Placer) Room(s *Snapshot, r Request) bool {
+func (p *Placer) HasCapacity(s *Snapshot, r Request) bool {
 	return slices.ContainsFunc(p.eligibleWorkers(s, r).available, func(w *worker.Worker) bool {
 		_, limited := p.cfg.Loads.RateLimit(w)
-		return w.Region == p.cfg.Region && !limited && !p.Cold(s, w) && p.cfg.Loads.Of(w.Life()).Busy() < float64(w.Slots)
+		return w.Region == p.cfg.Region && !limited && !p.IsCold(s, w) && p.cfg.Loads.Of(w.Life()).Busy() < float64(w.Slots)
 	})
 }
 
--- a/coordination/placement/placement_test.go
+++ b/coordination/placement/placement_test.go
@@ -53,9 +53,9 @@
 
 // usePermits replaces the placer by one that uses the given permits. Nil means unlimited.
 func (f *fixture) usePermits(p placement.Permits) {
-	cold := placement.NewCold(placement.ColdConfig{VM: "vm", Region: "north", Peers: singleVM{}, Now: f.clock.Now})
+	cold := placement.NewColdLimiter(placement.ColdLimiterConfig{VM: "vm", Region: "north", Peers: singleVM{}, Now: f.clock.Now})
 	f.placer = placement.New(placement.Config{
-		Hall: "north-a", Region: "north", Loads: f.loads, Cold: cold, Steerer: steer.New(steer.Config{Hall: "north-a"}), Now: f.clock.Now,
+		Hall: "north-a", Region: "north", Loads: f.loads, ColdLimiter: cold, Steerer: steer.New(steer.Config{Hall: "north-a"}), Now: f.clock.Now,
 		Permits: p,
 	})
 }
@@ -306,9 +306,9 @@
 		t.Run(name, func(t *testing.T) {
 			clock := clockwork.NewFakeClock()
 			r := &partitionedRegion{visible: sees}
-			var vms []*placement.Cold
+			var vms []*placement.ColdLimiter
 			for _, vm := range all {
-				vms = append(vms, placement.NewCold(placement.ColdConfig{VM: vm, Region: "north", Peers: partialView{r, vm}, Now: clock.Now}))
+				vms = append(vms, placement.NewColdLimiter(placement.ColdLimiterConfig{VM: vm, Region: "north", Peers: partialView{r, vm}, Now: clock.Now}))
 			}
 			for n := range 50 {
 				w := &worker.Worker{ID: fmt.Sprintf("w%d", n), Region: "north"}
@@ -317,7 +317,7 @@
 				for range 3 * ticks {
 					sent = append(sent, 0)
 					for _, vm := range vms {
-						if vm.Take(w, rate) {
+						if vm.Allow(w, rate) {
 							sent[len(sent)-1]++
 						}
 					}
@@ -368,7 +368,7 @@
 	})
 	Convey("Workers of a reopened hall are cold for a while", t, func() {
 		f := newFixture(map[string]int{"north": 2}, nil)
-		f.snapshot.WarmAt = map[string]time.Time{"north-a": f.clock.Now().Add(time.Second), "north-b": f.clock.Now().Add(time.Second)}
+		f.snapshot.HallColdUntil = map[string]time.Time{"north-a": f.clock.Now().Add(time.Second), "north-b": f.clock.Now().Add(time.Second)}
 		refused := 0
 		for key := range uint64(100) {
 			if _, refusal := f.placer.Place(f.snapshot, request(key)); refusal == placement.RefusalCold {
@@ -390,9 +390,9 @@
 	r := &partitionedRegion{visible: sees}
 	w, sent := &worker.Worker{ID: "w", Region: "north"}, 0
 	for vm := range sees {
-		cold := placement.NewCold(placement.ColdConfig{VM: vm, Region: "north", Peers: partialView{r, vm}, Now: clock.Now})
+		cold := placement.NewColdLimiter(placement.ColdLimiterConfig{VM: vm, Region: "north", Peers: partialView{r, vm}, Now: clock.Now})
 		for range 3 {
-			if cold.Take(w, rate) {
+			if cold.Allow(w, rate) {
 				sent++
 			}
 		}
@@ -404,8 +404,8 @@
 
 // Guards against requests to cold workers from a VM that knows no live VM, not even itself.
 func TestColdRateWithoutLiveVMs(t *testing.T) {
-	cold := placement.NewCold(placement.ColdConfig{VM: "vm", Region: "north", Peers: noVMs{}, Now: time.Now})
-	if cold.Take(&worker.Worker{ID: "w", Region: "north"}, 100) {
+	cold := placement.NewColdLimiter(placement.ColdLimiterConfig{VM: "vm", Region: "north", Peers: noVMs{}, Now: time.Now})
+	if cold.Allow(&worker.Worker{ID: "w", Region: "north"}, 100) {
 		t.Error("a request was allowed")
 	}
 }
--- a/coordination/placement/search.go
+++ b/coordination/placement/search.go
@@ -20,17 +20,17 @@
 
 // Permits issues permits for workers that limit their rate over all VMs.
 type Permits interface {
-	// Take takes a permit to send one request to a worker that takes perS requests per
+	// Acquire takes a permit to send one request to a worker that takes perS requests per
 	// second. Priority 0 is the most urgent. Without a permit it returns the time after
 	// which to ask again. It may call another VM and wait for the answer.
-	Take(w *worker.Worker, perS float64, priority int) (wait time.Duration, ok bool)
+	Acquire(w *worker.Worker, perS float64, priority int) (wait time.Duration, ok bool)
 }
 
 // unlimitedPermits grants every permit.
 type unlimitedPermits struct{}
 
-// Take implements Permits.
-func (unlimitedPermits) Take(*worker.Worker, float64, int) (time.Duration, bool) { return 0, true }
+// Acquire implements Permits.
+func (unlimitedPermits) Acquire(*worker.Worker, float64, int) (time.Duration, bool) { return 0, true }
 
 // search checks the workers of a region, best first, for one request.
 type search struct {
@@ -75,23 +75,23 @@
 	if limited && s.denied >= s.denialLimit {
 		return false
 	}
-	seen := Considered{ID: w.ID, Hall: w.Hall, Region: region, Cold: p.Cold(s.snapshot, w)}
+	seen := Considered{ID: w.ID, Hall: w.Hall, Region: region, Cold: p.IsCold(s.snapshot, w)}
 	if !seen.Cold {
-		seen.Busy, seen.Room = p.cfg.Loads.Of(w.Life()).Busy(), s.limits[s.full]*float64(w.Slots)
+		seen.Busy, seen.MaxBusy = p.cfg.Loads.Of(w.Life()).Busy(), s.limits[s.full]*float64(w.Slots)
 	}
 	s.considered = append(s.considered, seen)
 	switch {
-	case seen.Cold && !p.cfg.Cold.Take(w, s.coldRate):
+	case seen.Cold && !p.cfg.ColdLimiter.Allow(w, s.coldRate):
 		s.cold++ // The next holder serves the key until this worker is warm.
 		return false
-	case !seen.Cold && seen.Busy >= seen.Room:
+	case !seen.Cold && seen.Busy >= seen.MaxBusy:
 		s.full++
 		return false
 	}
 	if !limited {
 		return true
 	}
-	wait, ok := p.cfg.Permits.Take(w, perS, s.request.Priority)
+	wait, ok := p.cfg.Permits.Acquire(w, perS, s.request.Priority)
 	if !ok {
 		s.deny(perS, wait)
 	}
--- a/coordination/placement/search_test.go
+++ b/coordination/placement/search_test.go
@@ -21,8 +21,8 @@
 
 const permitRetryAfter = 300 * time.Millisecond
 
-// Take implements placement.Permits.
-func (p *fakePermits) Take(w *worker.Worker, _ float64, _ int) (time.Duration, bool) {
+// Acquire implements placement.Permits.
+func (p *fakePermits) Acquire(w *worker.Worker, _ float64, _ int) (time.Duration, bool) {
 	p.calls++
 	return permitRetryAfter, slices.Contains(p.granted, w.ID)
 }
@@ -72,8 +72,8 @@
 				}
 				switch {
 				case c.refusal != placement.RefusalNone:
-					if refusal != c.refusal || choice.Wait() != permitRetryAfter {
-						t.Fatalf("refusal %q, retry after %s, want %q and %s", refusal, choice.Wait(), c.refusal, permitRetryAfter)
+					if refusal != c.refusal || choice.RetryAfter() != permitRetryAfter {
+						t.Fatalf("refusal %q, retry after %s, want %q and %s", refusal, choice.RetryAfter(), c.refusal, permitRetryAfter)
 					}
 				case refusal != placement.RefusalNone || !slices.Contains(c.wantRegions, choice.Worker().Region):
 					t.Fatalf("key %d goes to worker %q, refusal %q", key, choice.Worker().ID, refusal)
--- a/coordination/placement/share.go
+++ b/coordination/placement/share.go
@@ -60,7 +60,7 @@
 	regions := s.Regions
 	slots, total := slotsByRegion(workers, len(regions))
 	if r.unrestricted(regions) {
-		total -= subtractPinned(slots, total, s.Bound)
+		total -= subtractPinned(slots, total, s.PinnedShares)
 	}
 	sources := 0
 	for _, region := range regions {
--- a/coordination/placement/signals_test.go
+++ b/coordination/placement/signals_test.go
@@ -73,8 +73,8 @@
 				if refusal != c.refusal {
 					t.Fatalf("refusal %q, want %q", refusal, c.refusal)
 				}
-				if refusal == placement.RefusalResting && (choice.Wait() < rest || choice.Wait() > rest+rest/5) {
-					t.Fatalf("retry after %s, want about %s", choice.Wait(), rest)
+				if refusal == placement.RefusalResting && (choice.RetryAfter() < rest || choice.RetryAfter() > rest+rest/5) {
+					t.Fatalf("retry after %s, want about %s", choice.RetryAfter(), rest)
 				}
 				if refusal == placement.RefusalNone {
 					got[choice.Worker().Region] = true
@@ -149,14 +149,14 @@
 			f := newFixture(map[string]int{"north": 4}, nil)
 			first, _ := f.placer.Place(f.snapshot, request(3))
 			first.Load().End()
-			if first.PassedOver() != "" {
-				t.Errorf("skipped %q before any signal", first.PassedOver())
+			if first.SkippedHolder() != "" {
+				t.Errorf("skipped %q before any signal", first.SkippedHolder())
 			}
 			f.loads.Of(first.Worker().ID).Hear(c.signal(f))
 			moved, _ := f.placer.Place(f.snapshot, request(3))
 			for _, part := range append(c.want, first.Worker().ID) {
-				if !strings.Contains(moved.PassedOver(), part) {
-					t.Errorf("%q lacks %q", moved.PassedOver(), part)
+				if !strings.Contains(moved.SkippedHolder(), part) {
+					t.Errorf("%q lacks %q", moved.SkippedHolder(), part)
 				}
 			}
 		})
--- a/coordination/placement/steer.go
+++ b/coordination/placement/steer.go
@@ -46,9 +46,9 @@
 		}
 		// The keys sent away under a cap are always the highest positions, so that the set
 		// of keys is stable.
-		within := balanced.position >= 1-float64(c.Limit())/float64(share.Whole)
+		within := balanced.position >= 1-float64(c.CapLimit())/float64(share.Whole)
 		if !within || !c.SpendCaps() {
-			reason := fmt.Sprintf("balance: kept in %s by a cap of %s", p.cfg.Region, c.Limit())
+			reason := fmt.Sprintf("balance: kept in %s by a cap of %s", p.cfg.Region, c.CapLimit())
 			return applyMove(destination{region: p.cfg.Region, reason: reason}, c, hall)
 		}
 	}
@@ -69,7 +69,7 @@
 		return steer.Candidate{}, ""
 	}
 	hall = first.Hall
-	return p.cfg.Steerer.ArriveAt(s.Traffic, r.Service, hall, share.Key(r.Key)), hall
+	return p.cfg.Steerer.EvaluateAt(s.Traffic, r.Service, hall, share.Key(r.Key)), hall
 }
 
 // applyMove sends the request to the target of its move, if the move has capacity.
--- a/coordination/placement/steer_test.go
+++ b/coordination/placement/steer_test.go
@@ -70,7 +70,7 @@
 			reported := false
 			for key := range uint64(50) {
 				c, _ := f.placer.Place(f.snapshot, request(key))
-				reported = reported || c.Steered() == "move m-north-a: from north-a to north-b"
+				reported = reported || c.SteeringReason() == "move m-north-a: from north-a to north-b"
 				c.Load().End()
 			}
 			So(reported, ShouldBeTrue)
@@ -104,7 +104,7 @@
 			f.setTraffic(spec.Traffic{Moves: []spec.Move{newMove("north-b", 30*share.Percent, share.Whole)}})
 			for key := range uint64(500) {
 				c, _ := f.placer.Place(f.snapshot, request(key))
-				if c.Steered() == "" {
+				if c.SteeringReason() == "" {
 					So(c.Worker().ID, ShouldEqual, workers[key])
 				}
 				c.Load().End()
@@ -137,7 +137,7 @@
 			reported := false
 			for key := range uint64(50) {
 				c, _ := f.placer.Place(f.snapshot, request(key))
-				reported = reported || c.Steered() == "balance: kept in north by a cap of 0%"
+				reported = reported || c.SteeringReason() == "balance: kept in north by a cap of 0%"
 				c.Load().End()
 			}
 			So(reported, ShouldBeTrue)
--- a/coordination/steer/steer.go
+++ b/coordination/steer/steer.go
@@ -99,8 +99,8 @@
 // Rule returns RuleMove if the request may be moved, or else the rule that keeps it here.
 func (c Candidate) Rule() Rule { return c.rule }
 
-// Limit returns the lowest limit of the caps that apply, or share.Whole without caps.
-func (c Candidate) Limit() share.PPM {
+// CapLimit returns the lowest limit of the caps that apply, or share.Whole without caps.
+func (c Candidate) CapLimit() share.PPM {
 	least := share.Whole
 	for _, a := range c.caps {
 		least = min(least, a.Limit())
@@ -130,19 +130,19 @@
 // through the balancing between regions.
 func (c Candidate) SpendCaps() bool { return quota.Spend(c.caps...) }
 
-// Arrive counts a request against every matching move and cap and returns the move that
+// Evaluate counts a request against every matching move and cap and returns the move that
 // may apply to it.
-func (s *Steerer) Arrive(v *view.View, service string, client netip.Addr) Candidate {
+func (s *Steerer) Evaluate(v *view.View, service string, client netip.Addr) Candidate {
 	home, ok := v.Home(client)
 	if !ok || home != s.cfg.Hall {
 		return Candidate{rule: RuleForeign}
 	}
-	return s.ArriveAt(v, service, home, share.Client(client))
+	return s.EvaluateAt(v, service, home, share.Client(client))
 }
 
-// ArriveAt is like Evaluate for a subject that belongs to a given hall, whichever hall
+// EvaluateAt is like Evaluate for a subject that belongs to a given hall, whichever hall
 // this VM is in.
-func (s *Steerer) ArriveAt(v *view.View, service, hall string, subject share.Subject) Candidate {
+func (s *Steerer) EvaluateAt(v *view.View, service, hall string, subject share.Subject) Candidate {
 	chosen := Candidate{rule: RuleHome, caps: s.countForCaps(v, service, hall)}
 	for _, m := range v.Moves(service, hall) {
 		position, effective := share.Position(m.ID, subject), m.Effective()
--- a/coordination/steer/steer_test.go
+++ b/coordination/steer/steer_test.go
@@ -40,7 +40,7 @@
 	s := steer.New(steer.Config{Hall: "a"})
 	moved := make(map[string]int)
 	for i := range n {
-		c := s.Arrive(v, "lookup", netip.AddrFrom4([4]byte{10, 1, byte(i >> 8), byte(i)}))
+		c := s.Evaluate(v, "lookup", netip.AddrFrom4([4]byte{10, 1, byte(i >> 8), byte(i)}))
 		if c.Rule() == steer.RuleMove && c.Spend() {
 			moved[c.Move().ID]++
 		}
@@ -81,10 +81,10 @@
 	stopped.State = spec.MoveStopped
 	v := newView(t, spec.Traffic{Moves: []spec.Move{stopped}})
 	s := steer.New(steer.Config{Hall: "a"})
-	if rule := s.Arrive(v, "lookup", netip.MustParseAddr("10.1.0.1")).Rule(); rule != steer.RuleHome {
+	if rule := s.Evaluate(v, "lookup", netip.MustParseAddr("10.1.0.1")).Rule(); rule != steer.RuleHome {
 		t.Errorf("got rule %s for a stopped move", rule)
 	}
-	if rule := s.Arrive(v, "lookup", netip.MustParseAddr("10.2.0.1")).Rule(); rule != steer.RuleForeign {
+	if rule := s.Evaluate(v, "lookup", netip.MustParseAddr("10.2.0.1")).Rule(); rule != steer.RuleForeign {
 		t.Errorf("got rule %s for a client of another hall", rule)
 	}
 }
@@ -96,6 +96,6 @@
 	i := 0
 	for b.Loop() {
 		i++
-		s.Arrive(v, "lookup", netip.AddrFrom4([4]byte{10, 1, byte(i >> 8), byte(i)}))
+		s.Evaluate(v, "lookup", netip.AddrFrom4([4]byte{10, 1, byte(i >> 8), byte(i)}))
 	}
 }
--- a/coordination/traffic/traffic.go
+++ b/coordination/traffic/traffic.go
@@ -56,38 +56,38 @@
 	Plan(ctx context.Context, id string) (intent.Plan, error)
 }
 
-// Written is the traffic object and its version after a write.
-type Written struct {
+// Result is the traffic object and its version after a write.
+type Result struct {
 	Traffic spec.Traffic
 	Version uint64
 }
 
-// ErrInForce is returned by the apply function of Update if its change is already in
+// ErrAlreadyInForce is returned by the apply function of Update if its change is already in
 // force.
-var ErrInForce = errors.New("traffic: change is already in force")
+var ErrAlreadyInForce = errors.New("traffic: change is already in force")
 
 // maxAttempts bounds the writes of one update under concurrent writes.
 const maxAttempts = 4
 
-// Change reads the object, applies a change and writes it if its version is unchanged.
+// Update reads the object, applies a change and writes it if its version is unchanged.
 // After a conflict it reads and applies again; apply rejects the plan if another operator
 // has changed the object. Errors of apply are returned unchanged, together with the object
 // as it was read.
-func Change(ctx context.Context, s Store, newOperation func() string, apply func(spec.Traffic) (spec.Traffic, error)) (Written, error) {
+func Update(ctx context.Context, s Store, newOperation func() string, apply func(spec.Traffic) (spec.Traffic, error)) (Result, error) {
 	for attempt := 1; ; attempt++ {
 		t, version, err := s.Read(ctx)
 		if err != nil {
-			return Written{}, errors.Wrap(err, "traffic: read object")
+			return Result{}, errors.Wrap(err, "traffic: read object")
 		}
 		next, err := apply(t)
 		if err != nil {
-			return Written{Traffic: t, Version: version}, err
+			return Result{Traffic: t, Version: version}, err
 		}
 		written, err := s.Write(ctx, next, version, newOperation())
 		if errors.Is(err, ErrConflict) && attempt < maxAttempts {
 			continue
 		}
-		return Written{Traffic: next, Version: written}, errors.Wrap(err, "traffic: write object")
+		return Result{Traffic: next, Version: written}, errors.Wrap(err, "traffic: write object")
 	}
 }
 
@@ -97,35 +97,35 @@
 	Fleet     *spec.Fleet
 	Now       func() time.Time
 	Operation func() string
-	// Holds reports, after the reads, whether this VM is still the controller. Nil means
+	// IsController reports, after the reads, whether this VM is still the controller. Nil means
 	// yes.
-	Holds func() bool
+	IsController func() bool
 }
 
 // Step takes all due steps of moves and returns the written object and the actions. If
 // there are no actions, nothing was written.
-func Step(ctx context.Context, c StepConfig) (Written, []controller.Action, error) {
+func Step(ctx context.Context, c StepConfig) (Result, []controller.Action, error) {
 	t, version, err := c.Store.Read(ctx)
 	if err != nil {
-		return Written{}, nil, errors.Wrap(err, "traffic: read object")
+		return Result{}, nil, errors.Wrap(err, "traffic: read object")
 	}
 	halls, err := c.Store.Halls(ctx)
 	if err != nil {
-		return Written{}, nil, errors.Wrap(err, "traffic: read hall statuses")
+		return Result{}, nil, errors.Wrap(err, "traffic: read hall statuses")
 	}
 	next, actions := controller.Next(controller.Facts{Fleet: c.Fleet, Traffic: t, Version: version, Halls: halls, Now: c.Now()})
-	if len(actions) == 0 || c.Holds != nil && !c.Holds() {
-		return Written{}, nil, nil
+	if len(actions) == 0 || c.IsController != nil && !c.IsController() {
+		return Result{}, nil, nil
 	}
 	written, err := c.Store.Write(ctx, next, version, c.Operation())
 	if err != nil {
-		return Written{}, nil, errors.Wrap(err, "traffic: write object")
+		return Result{}, nil, errors.Wrap(err, "traffic: write object")
 	}
-	return Written{Traffic: next, Version: written}, actions, nil
+	return Result{Traffic: next, Version: written}, actions, nil
 }
 
-// Busy reports whether any move has not ended.
-func Busy(t *spec.Traffic) bool {
+// HasActiveMoves reports whether any move has not ended.
+func HasActiveMoves(t *spec.Traffic) bool {
 	for i := range t.Moves {
 		if !t.Moves[i].Ended() {
 			return true
@@ -134,8 +134,8 @@
 	return false
 }
 
-// Holds reports whether the object contains a move or cap of an intent.
-func Holds(t spec.Traffic, id string) bool {
+// HasIntent reports whether the object contains a move or cap of an intent.
+func HasIntent(t spec.Traffic, id string) bool {
 	for _, m := range t.Moves {
 		if m.Intent == id {
 			return true
--- a/coordination/traffic/traffic_test.go
+++ b/coordination/traffic/traffic_test.go
@@ -83,14 +83,14 @@
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
 			m := &memoryStore{beforeWrite: c.before, writeErr: c.writeErr}
-			written, err := traffic.Change(context.Background(), m, newOperation, addCap)
+			written, err := traffic.Update(context.Background(), m, newOperation, addCap)
 			if !errors.Is(err, c.wantErr) {
 				t.Fatalf("error %v, want %v", err, c.wantErr)
 			}
 			if m.writes != c.writes {
 				t.Errorf("%d writes, want %d", m.writes, c.writes)
 			}
-			if err == nil && (written.Version != m.version || !traffic.Holds(m.traffic, "p")) {
+			if err == nil && (written.Version != m.version || !traffic.HasIntent(m.traffic, "p")) {
 				t.Errorf("written version %d, store version %d, traffic %v", written.Version, m.version, m.traffic)
 			}
 		})
@@ -125,7 +125,7 @@
 			m.halls = map[string]load.HallStatus{"a": status("a"), "b": status("b")}
 			_, actions, err := traffic.Step(context.Background(), traffic.StepConfig{
 				Store: m, Fleet: &spec.Fleet{}, Now: func() time.Time { return now }, Operation: newOperation,
-				Holds: func() bool { return c.isController },
+				IsController: func() bool { return c.isController },
 			})
 			if (err != nil) != c.wantErr {
 				t.Fatal(err)
--- a/coordination/tree/tree.go
+++ b/coordination/tree/tree.go
@@ -48,23 +48,23 @@
 	Depth int
 }
 
-// Of returns the place of a VM, which must be one of vms, the VMs of its region. Their
+// PlaceOf returns the place of a VM, which must be one of vms, the VMs of its region. Their
 // order does not matter.
-func Of(self, region string, vms []VM) Place {
+func PlaceOf(self, region string, vms []VM) Place {
 	if len(vms) <= FanOut {
-		return placeUnderRoot(self, Ranked("watcher/"+region, vms)[0])
+		return placeUnderRoot(self, Rank("watcher/"+region, vms)[0])
 	}
 	ownHall := hallOf(self, vms)
 	heads := make([]VM, 0, 1)
 	var ownRanked []string
 	for name, list := range byHall(vms) {
-		ranked := Ranked("watcher/"+region+"/"+name, list)
+		ranked := Rank("watcher/"+region+"/"+name, list)
 		heads = append(heads, list[slices.IndexFunc(list, func(vm VM) bool { return vm.ID == ranked[0] })])
 		if name == ownHall {
 			ownRanked = ranked
 		}
 	}
-	root := Ranked("watcher/"+region, heads)[0]
+	root := Rank("watcher/"+region, heads)[0]
 	if self == ownRanked[0] {
 		return placeUnderRoot(self, root)
 	}
@@ -97,10 +97,10 @@
 	return min((vms-1+FanOut-1)/FanOut, FanOut)
 }
 
-// Ranked returns the ids of VMs in order of preference for an item: first those with at
+// Rank returns the ids of VMs in order of preference for an item: first those with at
 // least half the bandwidth of the fastest link, then the others, both by rendezvous
 // hashing.
-func Ranked(item string, vms []VM) []string {
+func Rank(item string, vms []VM) []string {
 	maxMbps := 0
 	for _, vm := range vms {
 		maxMbps = max(maxMbps, vm.LinkMbps)
@@ -113,7 +113,7 @@
 			slow = append(slow, vm.ID)
 		}
 	}
-	return append(assign.Ranked(item, fast), assign.Ranked(item, slow)...)
+	return append(assign.Rank(item, fast), assign.Rank(item, slow)...)
 }
 
 func hallOf(id string, vms []VM) string {
--- a/coordination/tree/tree_test.go
+++ b/coordination/tree/tree_test.go
@@ -43,7 +43,7 @@
 			places := make(map[string]tree.Place, len(vms))
 			children := make(map[string]int)
 			for _, vm := range vms {
-				place := tree.Of(vm.ID, "north", vms)
+				place := tree.PlaceOf(vm.ID, "north", vms)
 				places[vm.ID] = place
 				if place.Parent != vm.ID {
 					children[place.Parent]++
@@ -68,7 +68,7 @@
 func TestParentsHaveFastLinks(t *testing.T) {
 	vms := newRegion(3, 33, 3)
 	for _, vm := range vms {
-		parent := tree.Of(vm.ID, "north", vms).Parent
+		parent := tree.PlaceOf(vm.ID, "north", vms).Parent
 		index := slices.IndexFunc(vms, func(v tree.VM) bool { return v.ID == parent })
 		if vms[index].LinkMbps != 200 {
 			t.Errorf("%s has parent %s, whose link has %d Mbit/s", vm.ID, parent, vms[index].LinkMbps)
@@ -79,11 +79,11 @@
 // Guards against many VMs changing their parent when one VM leaves.
 func TestFewParentsChangeWhenAVMLeaves(t *testing.T) {
 	vms := newRegion(3, 33, 3)
-	removed := tree.Of(vms[len(vms)-1].ID, "north", vms).Parent
+	removed := tree.PlaceOf(vms[len(vms)-1].ID, "north", vms).Parent
 	remaining := slices.DeleteFunc(slices.Clone(vms), func(v tree.VM) bool { return v.ID == removed })
 	moved := 0
 	for _, vm := range remaining {
-		if tree.Of(vm.ID, "north", vms).Parent != tree.Of(vm.ID, "north", remaining).Parent {
+		if tree.PlaceOf(vm.ID, "north", vms).Parent != tree.PlaceOf(vm.ID, "north", remaining).Parent {
 			moved++
 		}
 	}
@@ -96,6 +96,6 @@
 func BenchmarkPlaceOf(b *testing.B) {
 	vms := newRegion(3, 33, 3)
 	for b.Loop() {
-		tree.Of("h2-32", "north", vms)
+		tree.PlaceOf("h2-32", "north", vms)
 	}
 }
--- a/internal/daemon/control.go
+++ b/internal/daemon/control.go
@@ -45,7 +45,7 @@
 	every(ctx, d.cfg.ControlInterval, func() {
 		// An idle fleet costs the platform nothing: without a move no VM asks
 		// for the lease.
-		if !traffic.Busy(d.view.Load().Traffic()) || d.life.Current() != phaseServing || !d.candidate() {
+		if !traffic.HasActiveMoves(d.view.Load().Traffic()) || d.life.Current() != phaseServing || !d.candidate() {
 			return
 		}
 		if !d.holdLease(ctx) {
@@ -129,8 +129,8 @@
 func (d *Daemon) step(ctx context.Context) {
 	written, actions, err := traffic.Step(ctx, traffic.StepConfig{
 		Store: d.traffic, Fleet: d.view.Load().Fleet(), Now: d.now,
-		Operation: func() string { return d.operation("step") },
-		Holds:     func() bool { return d.now().Before(d.lease.good) },
+		Operation:    func() string { return d.operation("step") },
+		IsController: func() bool { return d.now().Before(d.lease.good) },
 	})
 	if err != nil {
 		d.log.Info("controller: no step", "error", err.Error())
--- a/internal/daemon/traffic.go
+++ b/internal/daemon/traffic.go
@@ -114,7 +114,7 @@
 }
 
 // changed takes in a traffic object that is known to be in force.
-func (d *Daemon) changed(w traffic.Written) {
+func (d *Daemon) changed(w traffic.Result) {
 	o := spec.Encode(trafficKey, &w.Traffic)
 	o.Version = w.Version
 	d.store.Apply(spread.Changes{Since: w.Version, Objects: []spec.Object{o}})
--- a/internal/experiment/rests.go
+++ b/internal/experiment/rests.go
@@ -177,7 +177,7 @@
 		loads := worker.NewLoads(now)
 		m.vms = append(m.vms, &restVM{loads: loads, limits: make(map[string]float64), placer: placement.New(placement.Config{
 			Hall: "h", Region: "r", Loads: loads, Now: now, Steerer: steer.New(steer.Config{Hall: "h"}),
-			Cold: placement.NewCold(placement.ColdConfig{Region: "r", Now: now}),
+			ColdLimiter: placement.NewColdLimiter(placement.ColdLimiterConfig{Region: "r", Now: now}),
 		})})
 	}
 	return m
@@ -229,7 +229,7 @@
 	}
 	choice, refusal := r.vm.placer.Place(m.set, placement.Request{Service: "s", Key: r.key, Keyed: true, Tried: tried})
 	if refusal != placement.RefusalNone {
-		m.refuse(r, choice.Wait())
+		m.refuse(r, choice.RetryAfter())
 		return
 	}
 	r.choice = choice
--- a/internal/gateway/candidates.go
+++ b/internal/gateway/candidates.go
@@ -41,5 +41,5 @@
 
 // first returns the candidate that all VMs which see the same ones choose for an item.
 func (c candidates) first(item string) membership.Member {
-	return c[tree.Ranked(item, c.vms())[0]]
+	return c[tree.Rank(item, c.vms())[0]]
 }
--- a/internal/gateway/compile.go
+++ b/internal/gateway/compile.go
@@ -108,7 +108,7 @@
 	g.compileRollouts(now)
 	s := &placement.Snapshot{
 		Routes: c.routes, Workers: g.compileWorkers(c, now), Closed: maps.Clone(c.closed), Closing: maps.Clone(c.closing),
-		WarmAt: maps.Clone(c.warmAt), Regions: g.regions(), Traffic: c.traffic, Bound: c.bound,
+		HallColdUntil: maps.Clone(c.warmAt), Regions: g.regions(), Traffic: c.traffic, PinnedShares: c.bound,
 	}
 	g.snapshot.Store(s)
 	g.compiledConfig.Store(config)
--- a/internal/gateway/control.go
+++ b/internal/gateway/control.go
@@ -23,7 +23,7 @@
 func (g *Gateway) controlLoop(ctx context.Context) {
 	for number := 1; ctx.Err() == nil; number++ {
 		sleep(ctx, controlInterval)
-		if !g.Ready() || !traffic.Busy(g.traffic()) || !g.controls() {
+		if !g.Ready() || !traffic.HasActiveMoves(g.traffic()) || !g.controls() {
 			continue
 		}
 		g.step(ctx, "step-"+g.cfg.VM+"-"+strconv.FormatUint(g.self.Start, 36)+"-"+strconv.Itoa(number))
@@ -43,7 +43,7 @@
 func (g *Gateway) step(ctx context.Context, operation string) {
 	written, actions, err := traffic.Step(ctx, traffic.StepConfig{
 		Store: trafficStore{g}, Fleet: g.view(g.traffic()).Fleet(), Now: clock.Now,
-		Operation: func() string { return operation }, Holds: g.controls,
+		Operation: func() string { return operation }, IsController: g.controls,
 	})
 	if err != nil {
 		g.log.Info("controller: no step", "error", err.Error())
--- a/internal/gateway/export_test.go
+++ b/internal/gateway/export_test.go
@@ -78,7 +78,7 @@
 func (g *Gateway) Cold(id string) bool {
 	s := g.snapshot.Load()
 	w, ok := s.Workers.Get(id)
-	return ok && g.placer.Cold(s, w)
+	return ok && g.placer.IsCold(s, w)
 }
 
 // Distrust makes this VM believe the worst of a life of a worker.
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -148,11 +148,11 @@
 		DialTimeout: workerDial, IdleFor: workerIdle, OnceIdle: onceIdle, Unanswered: workerUnanswered, Dialect: cfg.Dialect, Now: clock.Now,
 	})
 	g.peers = peer.New(peer.Config{Self: g.self, Handler: g.handlePeer, Log: g.log, Allow: g.allowPeer, Dial: cfg.Dial})
-	cold := placement.NewCold(placement.ColdConfig{VM: cfg.VM, Region: g.region(), Peers: g, Now: clock.Now})
+	cold := placement.NewColdLimiter(placement.ColdLimiterConfig{VM: cfg.VM, Region: g.region(), Peers: g, Now: clock.Now})
 	g.balancer = newBalancer(g.region())
 	g.permits = newPermits(g)
 	g.placer = placement.New(placement.Config{
-		Hall: cfg.Hall, Region: g.region(), Loads: g.loads, Cold: cold, Steerer: steer.New(steer.Config{Hall: cfg.Hall}), Now: clock.Now,
+		Hall: cfg.Hall, Region: g.region(), Loads: g.loads, ColdLimiter: cold, Steerer: steer.New(steer.Config{Hall: cfg.Hall}), Now: clock.Now,
 		Holders: g.balancer.table, Demand: g.balancer.meter, Permits: g.permits,
 		Confirmed: func() time.Time { return g.replica.Confirmed(cfg.Codec.WorkerKind()) },
 	})
--- a/internal/gateway/halls.go
+++ b/internal/gateway/halls.go
@@ -124,7 +124,7 @@
 		sum := h.Services[w.Service]
 		sum.Slots += w.Slots
 		_, leaves := g.loads.Leaving(w)
-		cold := now.Before(w.ColdUntil) || now.Before(s.WarmAt[w.Hall])
+		cold := now.Before(w.ColdUntil) || now.Before(s.HallColdUntil[w.Hall])
 		if !leaves && !cold && !s.Closed[w.Hall] && takesWork(g.loads.Standing(w, now)) {
 			sum.Usable += w.Slots
 		}
--- a/internal/gateway/permits.go
+++ b/internal/gateway/permits.go
@@ -63,8 +63,8 @@
 	}
 }
 
-// Take implements placement.Permits.
-func (p *permits) Take(w *worker.Worker, perS float64, priority int) (wait time.Duration, ok bool) {
+// Acquire implements placement.Permits.
+func (p *permits) Acquire(w *worker.Worker, perS float64, priority int) (wait time.Duration, ok bool) {
 	vm, found := p.issuerOf(w)
 	switch {
 	case !found:
--- a/internal/gateway/quarantine.go
+++ b/internal/gateway/quarantine.go
@@ -366,7 +366,7 @@
 // choose them for an item.
 func (c candidates) ranked(item string) []membership.Member {
 	ranked := make([]membership.Member, 0, len(c))
-	for _, id := range tree.Ranked(item, c.vms()) {
+	for _, id := range tree.Rank(item, c.vms()) {
 		ranked = append(ranked, c[id])
 	}
 	return ranked
--- a/internal/gateway/rolloutloop.go
+++ b/internal/gateway/rolloutloop.go
@@ -161,7 +161,7 @@
 	now, slots := clock.Now(), 0
 	brought := track == worker.TrackNew
 	for _, w := range s.Workers.Track(service, track) {
-		if _, ready := g.loads.Standing(w, now).(worker.Ready); ready && w.New == brought && !g.placer.Cold(s, w) {
+		if _, ready := g.loads.Standing(w, now).(worker.Ready); ready && w.New == brought && !g.placer.IsCold(s, w) {
 			slots += w.Slots
 		}
 	}
--- a/internal/gateway/start.go
+++ b/internal/gateway/start.go
@@ -215,7 +215,7 @@
 			vms = append(vms, tree.VM{ID: vm.ID, Hall: vm.Hall, LinkMbps: vm.LinkMbps})
 		}
 	}
-	return tree.Ranked("watcher/"+g.region(), vms)
+	return tree.Rank("watcher/"+g.region(), vms)
 }
 
 // turn returns when this VM lists the store by itself if it still knows nothing.
--- a/internal/gateway/traffic.go
+++ b/internal/gateway/traffic.go
@@ -157,7 +157,7 @@
 
 // trafficChanged takes in a traffic object that is known to be in force. It is
 // the only object of its kind, so the replica is complete with it.
-func (g *Gateway) trafficChanged(w traffic.Written) {
+func (g *Gateway) trafficChanged(w traffic.Result) {
 	body, err := encodeTraffic(&w.Traffic, "")
 	if err != nil {
 		return // It could not have been written.
--- a/internal/gateway/watchers.go
+++ b/internal/gateway/watchers.go
@@ -137,7 +137,7 @@
 			vms[i].LinkMbps = lastChoice
 		}
 	}
-	place := tree.Of(self.ID, g.region(), vms)
+	place := tree.PlaceOf(self.ID, g.region(), vms)
 	return teller{Member: c[place.Parent], depth: place.Depth, inTree: len(vms) > tree.FanOut}
 }
 
--- a/transport/ingress/explain.go
+++ b/transport/ingress/explain.go
@@ -65,11 +65,11 @@
 		text = string(refusal) + ": " + text
 	}
 	q.note(fmt.Sprintf("choice %d", number), text)
-	if c.Steered() != "" {
-		q.note("steered", c.Steered())
+	if c.SteeringReason() != "" {
+		q.note("steered", c.SteeringReason())
 	}
-	if c.PassedOver() != "" {
-		q.note("passed over", c.PassedOver())
+	if c.SkippedHolder() != "" {
+		q.note("passed over", c.SkippedHolder())
 	}
 }
 
--- a/transport/ingress/ingress_test.go
+++ b/transport/ingress/ingress_test.go
@@ -143,7 +143,7 @@
 
 func (f *fixture) serve(t *testing.T) {
 	f.loads = worker.NewLoads(time.Now)
-	cold := placement.NewCold(placement.ColdConfig{VM: "vm", Region: "here", Peers: oneVM{}, Now: time.Now})
+	cold := placement.NewColdLimiter(placement.ColdLimiterConfig{VM: "vm", Region: "here", Peers: oneVM{}, Now: time.Now})
 	client := upstream.New(upstream.Config{Dialect: plain{}, DialTimeout: 300 * time.Millisecond})
 	f.decisions = ingress.NewDecisions()
 	f.handler = ingress.New(ingress.Config{
@@ -152,7 +152,7 @@
 			defer f.mu.Unlock()
 			return f.snapshot
 		},
-		Placer:    placement.New(placement.Config{Region: "here", Loads: f.loads, Cold: cold, Now: time.Now}),
+		Placer:    placement.New(placement.Config{Region: "here", Loads: f.loads, ColdLimiter: cold, Now: time.Now}),
 		Upstreams: client, Dialect: plain{}, Metrics: metrics.New(), Log: logr.Discard(), Decisions: f.decisions,
 		VMs: func() int { return 1 }, Retry: retry.Config{Burst: 100}, Limiter: f.limiter, Keys: f.keys,
 	})
--- a/transport/ingress/try.go
+++ b/transport/ingress/try.go
@@ -53,8 +53,8 @@
 			q.noteChoice(number, choice, refusal)
 			if refusal != placement.RefusalNone {
 				q.meterRefusal(choice)
-				q.wait = choice.Wait()
-				q.refusePlacement(busyReason(refusal, q.handler.cfg.Placer.Room(s, q.placement())), number)
+				q.wait = choice.RetryAfter()
+				q.refusePlacement(busyReason(refusal, q.handler.cfg.Placer.HasCapacity(s, q.placement())), number)
 				return
 			}
 			next = &choice
--- a/transport/operator/intents.go
+++ b/transport/operator/intents.go
@@ -29,7 +29,7 @@
 	View func(t *spec.Traffic) *view.View
 	// Changed is told of a traffic object that is known to be in force, so
 	// that this VM need not wait to hear of it.
-	Changed func(w traffic.Written)
+	Changed func(w traffic.Result)
 }
 
 // intents answers intents with plans, and carries confirmed ones out.
@@ -103,8 +103,8 @@
 		return
 	}
 	i.change(w, r, plan.ID, func(t spec.Traffic) (spec.Traffic, error) {
-		if traffic.Holds(t, plan.ID) {
-			return t, traffic.ErrInForce
+		if traffic.HasIntent(t, plan.ID) {
+			return t, traffic.ErrAlreadyInForce
 		}
 		return intent.Apply(plan, t, time.Now())
 	})
@@ -120,8 +120,8 @@
 func (i *intents) operation() string { return newOperation(i.cfg.VM) }
 
 func (i *intents) change(w http.ResponseWriter, r *http.Request, id string, apply func(spec.Traffic) (spec.Traffic, error)) {
-	written, err := traffic.Change(r.Context(), i.cfg.Store, i.operation, apply)
-	if err != nil && !errors.Is(err, traffic.ErrInForce) {
+	written, err := traffic.Update(r.Context(), i.cfg.Store, i.operation, apply)
+	if err != nil && !errors.Is(err, traffic.ErrAlreadyInForce) {
 		failChange(w, err)
 		return
 	}
--- a/transport/relay/engine.go
+++ b/transport/relay/engine.go
@@ -187,7 +187,7 @@
 func (e *Engine) run(ctx context.Context, r *Request, sink Sink) served {
 	e.cfg.Budget.First()
 	v := e.cfg.View()
-	candidate := e.cfg.Steerer.Arrive(v, r.Service, r.Client)
+	candidate := e.cfg.Steerer.Evaluate(v, r.Service, r.Client)
 	d := decision.Record{
 		ID: r.id, Time: time.Now(), VM: e.cfg.Self.VM, Subject: r.Method + " " + r.Service,
 		Generation: v.Generation(),
