--- a/coordination/balance/balance.go
+++ b/coordination/balance/balance.go
@@ -1,25 +1,25 @@
 // Copyright 2026 The ryehill Authors
 // SPDX-License-Identifier: Apache-2.0
 
-// Package balance decides which keys are held by another worker than the one that
-// hashing gives them, from what callers ask for.
+// Package balance decides, from the measured demand, which keys are held by another worker
+// than the one that hashing assigns.
 //
-// Hashing gives each key a worker, but not each worker an even part of the
-// requests: with some ten keys to a worker the busiest one gets up to twice the
-// mean. A VM cannot correct that alone, since the others would send the same keys
-// to another worker, and both would work on them slowly. So one VM of the fleet
-// runs a Balancer: it adds up what all VMs count, and writes the keys that it
-// moves to a table that all of them follow (package state/holders).
+// Hashing assigns each key a worker, but does not spread the requests evenly: with few
+// keys per worker the busiest worker gets far more than the mean. A single VM cannot
+// correct that, since the other VMs would keep sending the same keys to another worker,
+// and both would be slow with them. So one VM of the fleet runs a Balancer, which
+// aggregates the demand that all VMs count and writes the keys that it moves to a table
+// that all VMs follow (package state/holders).
 //
-// A key is moved only away from a worker that is pressed, to one of its region
-// that has room: a worker that holds a key for the first time is slow with it.
-// Which region a key runs in is not decided here.
+// A key is moved only from an overloaded worker, to one of the same region with spare
+// capacity, because a worker is slow with a key that is new to it. The region in which a
+// key runs is not decided here.
 //
 // # Usage
 //
 //	b := balance.New(balance.Config{Table: table, Now: time.Now})
-//	b.Add(report)
-//	b.Decide(balance.Fleet{Workers: workers, Hashed: hashed})
+//	b.AddReport(report)
+//	b.Rebalance(balance.Fleet{Workers: workers, HashOwner: hashOwner})
 package balance
 
 import (
@@ -32,66 +32,66 @@
 )
 
 const (
-	// forgetAfter is how long a key without requests keeps its holder.
-	forgetAfter = 60 * time.Second
+	// idleKeyTTL is how long a key without requests keeps its holder.
+	idleKeyTTL = 60 * time.Second
 	// maxKeys bounds the keys that are counted.
 	maxKeys = holders.MaxEntries
 )
 
-// Config sets up a Balancer. All fields are required.
+// Config configures a Balancer. All fields are required.
 type Config struct {
 	Table *holders.Table
 	Now   func() time.Time
 }
 
-// Fleet is what there is to balance over.
+// Fleet describes the workers and the assignment by hashing.
 type Fleet struct {
-	// Workers are those that may hold keys now, by service.
+	// Workers are the workers that may hold keys, by service.
 	Workers map[string][]Worker
-	// Hashed returns the worker that hashing gives a key, if there is one.
+	// Hashed returns the worker that hashing assigns to a key, if there is one.
 	Hashed func(key demand.Key) (id string, ok bool)
 }
 
 // Worker is a worker that may hold keys.
 type Worker struct {
 	worker.Worker
-	// Full is set if it keeps the keys it holds and gets no others.
+	// Full is set if the worker keeps its keys but gets no others.
 	Full bool
 }
 
-// Balancer adds up counts and decides. It is safe for concurrent use.
+// Balancer aggregates demand and moves keys. It is safe for concurrent use.
 type Balancer struct {
 	cfg Config
 
 	mu      sync.Mutex
 	started time.Time
-	keys    map[demand.Key]*count
-	// held is the worker that held a key at the last decision.
-	held map[holders.Key]string
-	// answers, and the seconds they took, are by service.
-	answers, took map[string]*count
+	keys    map[demand.Key]*decayingSum
+	// lastHolders maps a key to its holder after the last decision.
+	lastHolders map[holders.Key]string
+	// answers and totalTime are the number of answers and their total duration in
+	// seconds, by service.
+	answers, totalTime map[string]*decayingSum
 }
 
-// New returns a balancer that knows of no demand.
+// New returns a Balancer without demand.
 func New(cfg Config) *Balancer {
 	return &Balancer{
-		cfg: cfg, started: cfg.Now(), keys: make(map[demand.Key]*count), held: make(map[holders.Key]string),
-		answers: make(map[string]*count), took: make(map[string]*count),
+		cfg: cfg, started: cfg.Now(), keys: make(map[demand.Key]*decayingSum), lastHolders: make(map[holders.Key]string),
+		answers: make(map[string]*decayingSum), totalTime: make(map[string]*decayingSum),
 	}
 }
 
-// Restart forgets what was counted: others have decided meanwhile, and this
-// balancer was told nothing.
+// Restart discards all state, for use after another balancer was in charge meanwhile.
 func (b *Balancer) Restart() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	clear(b.keys)
-	clear(b.held)
+	clear(b.lastHolders)
 	clear(b.answers)
-	clear(b.took)
+	clear(b.totalTime)
 }
 
-// Add takes in what VMs have counted.
+// Add adds the demand that VMs have counted.
 func (b *Balancer) Add(r demand.Report) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -100,35 +100,35 @@
 		b.started = now
 	}
 	for key, n := range r.Keys {
-		add(b.keys, key, float64(n), memory, now)
+		addToSum(b.keys, key, float64(n), decayTime, now)
 	}
 	for service, w := range r.Work {
-		add(b.answers, service, float64(w.Answers), workMemory, now)
-		add(b.took, service, w.Time.Seconds(), workMemory, now)
+		addToSum(b.answers, service, float64(w.Answers), workDecayTime, now)
+		addToSum(b.totalTime, service, w.Time.Seconds(), workDecayTime, now)
 	}
 }
 
-// Decide moves keys from pressed workers, and forgets the moves to workers that
-// are gone. It returns how many keys it moved.
+// Decide moves keys from overloaded workers and removes moves to workers that are gone. It
+// returns the number of keys moved.
 func (b *Balancer) Decide(f Fleet) int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	now := b.cfg.Now()
-	change := b.forget(now)
+	change := b.dropIdleKeys(now)
 	moved := 0
 	for service, keys := range b.keysByService(now) {
-		s := b.spreadOf(f, service, keys, change)
-		s.perAnswer = b.perAnswer(service, now)
+		s := b.currentAssignment(f, service, keys, change)
+		s.serviceTime = b.meanServiceTime(service, now)
 		if len(s.loads) == 0 {
 			continue
 		}
-		s.keep(b.held, change)
-		if now.Sub(b.started) >= memory { // Before, rates say little.
-			moved += s.even(change)
+		s.retainHolders(b.lastHolders, change)
+		if now.Sub(b.started) >= decayTime { // Rates are too inaccurate before.
+			moved += s.relieveOverloaded(change)
 		}
 		for _, l := range s.loads {
 			for _, k := range l.keys {
-				b.held[k.id] = l.worker.ID
+				b.lastHolders[k.id] = l.worker.ID
 			}
 		}
 	}
@@ -136,30 +136,29 @@
 	return moved
 }
 
-// forget drops the keys that nobody has asked for in a long time.
-func (b *Balancer) forget(now time.Time) holders.Change {
-	gone := make(holders.Change)
+// dropIdleKeys removes the keys that had no requests for idleKeyTTL.
+func (b *Balancer) dropIdleKeys(now time.Time) holders.Change {
+	removed := make(holders.Change)
 	for key, c := range b.keys {
-		if now.Sub(c.last) <= forgetAfter {
+		if now.Sub(c.updatedAt) <= idleKeyTTL {
 			continue
 		}
 		delete(b.keys, key)
 		id := holders.KeyOf(key.Service, key.Region, key.Hash)
-		delete(b.held, id)
+		delete(b.lastHolders, id)
 		if _, moved := b.cfg.Table.Holder(id); moved {
-			gone[id] = ""
+			removed[id] = ""
 		}
 	}
-	return gone
+	return removed
 }
 
-// spreadOf returns which worker holds which keys of a service. Moves to workers
-// that are gone, or in a region where the key does not run any more, are taken
-// back.
-func (b *Balancer) spreadOf(f Fleet, service string, keys []keyed, change holders.Change) *spread {
-	s := &spread{loads: make(map[string]*load)}
+// currentAssignment returns the assignment of a service's keys to workers. It reverts
+// moves to workers that are gone, or to another region than the one in which the key runs.
+func (b *Balancer) currentAssignment(f Fleet, service string, keys []keyLoad, change holders.Change) *assignment {
+	s := &assignment{loads: make(map[string]*workerLoad)}
 	for _, w := range f.Workers[service] {
-		s.loads[w.ID] = &load{worker: w}
+		s.loads[w.ID] = &workerLoad{worker: w}
 	}
 	for _, k := range keys {
 		hashed, _ := f.Hashed(k.key)
@@ -168,14 +167,14 @@
 			continue
 		}
 		if id, moved := b.cfg.Table.Holder(k.id); moved {
-			held, ok := s.loads[id]
-			if ok && held.worker.Region == l.worker.Region {
-				l = held
+			holder, ok := s.loads[id]
+			if ok && holder.worker.Region == l.worker.Region {
+				l = holder
 			} else {
 				change[k.id] = ""
 			}
 		}
-		l.add(k)
+		l.addKey(k)
 	}
 	return s
 }
--- a/coordination/balance/balance_test.go
+++ b/coordination/balance/balance_test.go
@@ -23,14 +23,14 @@
 	slots     = 4
 )
 
-// fixture is a fleet with keys whose holder by hashing is given.
+// fixture is a fleet of workers with keys whose assignment by hashing is given.
 type fixture struct {
-	clock   *clockwork.FakeClock
-	table   *holders.Table
-	decider *balance.Balancer
-	workers []balance.Worker
-	hashed  map[demand.Key]string
-	rates   map[demand.Key]int // requests a second
+	clock    *clockwork.FakeClock
+	table    *holders.Table
+	balancer *balance.Balancer
+	workers  []balance.Worker
+	hashed   map[demand.Key]string
+	rates    map[demand.Key]int // requests a second
 }
 
 func newFixture(workers int) *fixture {
@@ -38,7 +38,7 @@
 		clock: clockwork.NewFakeClock(), table: holders.NewTable(),
 		hashed: make(map[demand.Key]string), rates: make(map[demand.Key]int),
 	}
-	f.decider = balance.New(balance.Config{Table: f.table, Now: f.clock.Now})
+	f.balancer = balance.New(balance.Config{Table: f.table, Now: f.clock.Now})
 	for i := range workers {
 		f.join(fmt.Sprintf("north-%d", i), "north")
 	}
@@ -55,8 +55,8 @@
 	return k
 }
 
-// run plays some seconds with two decisions a second, and returns how many keys
-// were moved.
+// run simulates some seconds with two decisions a second, and returns how many keys were
+// moved.
 func (f *fixture) run(seconds int) int {
 	moved := 0
 	for range 2 * seconds {
@@ -66,8 +66,8 @@
 			r.Keys[key] = uint32(rate / 2)
 		}
 		r.Work[service] = demand.Work{Answers: 100, Time: 100 * perAnswer}
-		f.decider.Add(r)
-		moved += f.decider.Decide(balance.Fleet{
+		f.balancer.Add(r)
+		moved += f.balancer.Decide(balance.Fleet{
 			Workers: map[string][]balance.Worker{service: f.workers},
 			Hashed:  func(k demand.Key) (string, bool) { id, ok := f.hashed[k]; return id, ok },
 		})
@@ -91,9 +91,8 @@
 	return loads
 }
 
-// A worker to which hashing gives most keys is relieved, and nothing more is
-// moved once nobody is pressed.
-func TestPressedWorkerIsRelieved(t *testing.T) {
+// Guards against leaving a worker overloaded, and against moves once none is.
+func TestOverloadedWorkerIsRelieved(t *testing.T) {
 	f := newFixture(4)
 	for i := range uint64(11) {
 		f.key(i, "north-0", 4) // 44 requests of 100 ms: 1.1 of its slots.
@@ -110,12 +109,12 @@
 		}
 	}
 	if moved := f.run(60); moved != 0 {
-		t.Errorf("%d keys moved though nobody is pressed", moved)
+		t.Errorf("%d keys moved though no worker is overloaded", moved)
 	}
 }
 
-// Where nobody is pressed no key moves, however uneven the workers are.
-func TestNothingMovesWithoutNeed(t *testing.T) {
+// Guards against moving keys while no worker is overloaded.
+func TestNoMovesWithoutOverload(t *testing.T) {
 	f := newFixture(3)
 	f.key(1, "north-0", 10)
 	f.key(2, "north-0", 10)
@@ -126,8 +125,7 @@
 	}
 }
 
-// Keys stay where they are warm when a worker joins that would get them by
-// hashing, but for one: a worker without any request is of no use.
+// Guards against moving warm keys to a worker that joins, except one so that it is used.
 func TestKeysStayWhenAWorkerJoins(t *testing.T) {
 	f := newFixture(2)
 	var keys []demand.Key
@@ -153,13 +151,12 @@
 	}
 }
 
-// Keys stay in their region, also while all of its workers are pressed, and an
-// entry of a region in which its key runs no more is taken back.
+// Guards against moving keys out of their region, and against entries of a former region.
 func TestKeysStayInTheirRegion(t *testing.T) {
 	f := newFixture(2)
 	f.join("south-0", "south")
 	for i := range uint64(40) {
-		f.key(i, "north-0", 4) // 160 requests of 100 ms: twice the slots of both.
+		f.key(i, "north-0", 4) // 160 requests of 100 ms: twice the slots of both workers
 	}
 	f.run(20)
 	if got := f.loads()["south-0"]; got != 0 {
@@ -181,9 +178,8 @@
 	}
 }
 
-// A worker that is full keeps its keys and gets no others, and one that is gone
-// loses its entries.
-func TestFullAndGoneWorkers(t *testing.T) {
+// Guards against moving keys to full workers and keeping them at removed ones.
+func TestFullAndRemovedWorkers(t *testing.T) {
 	f := newFixture(3)
 	for i := range uint64(12) {
 		f.key(i, "north-0", 4)
@@ -200,14 +196,13 @@
 	f.run(1)
 	for k := range f.rates {
 		if f.holder(k) == "north-2" {
-			t.Errorf("key %d is still held by a worker that is gone", k.Hash)
+			t.Errorf("key %d is still held by a removed worker", k.Hash)
 		}
 	}
 }
 
-// Whatever the fleet and its demand, a decision names only workers that are there
-// and not full, and never makes the busiest worker busier.
-func TestDecisionsDoNoHarm(t *testing.T) {
+// Guards against choosing missing workers and against overloading the busiest one further.
+func TestMovesNeverRaisePeakLoad(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		f := newFixture(rapid.IntRange(1, 6).Draw(t, "workers"))
 		for i := range rapid.IntRange(0, 3).Draw(t, "far") {
@@ -220,23 +215,23 @@
 		for range rapid.IntRange(1, 6).Draw(t, "rounds") {
 			before := f.loads()
 			f.run(rapid.IntRange(1, 10).Draw(t, "seconds"))
-			if most(f.loads()) > most(before) {
+			if maxLoad(f.loads()) > maxLoad(before) {
 				t.Fatalf("the busiest worker became busier: %v, before %v", f.loads(), before)
 			}
 		}
-		there := make(map[string]bool)
+		present := make(map[string]bool)
 		for _, w := range f.workers {
-			there[w.ID] = true
+			present[w.ID] = true
 		}
 		for k := range f.rates {
-			if !there[f.holder(k)] {
-				t.Fatalf("key %d is held by %q, which is not there", k.Hash, f.holder(k))
+			if !present[f.holder(k)] {
+				t.Fatalf("key %d is held by %q, which does not exist", k.Hash, f.holder(k))
 			}
 		}
 	})
 }
 
-func most(loads map[string]int) int {
+func maxLoad(loads map[string]int) int {
 	busiest := 0
 	for _, rate := range loads {
 		busiest = max(busiest, rate)
@@ -244,8 +239,7 @@
 	return busiest
 }
 
-// BenchmarkDecide is a decision at the target: as many keys as are counted, over
-// the workers of one large service.
+// BenchmarkDecide measures a decision with the most keys and a large number of workers.
 func BenchmarkDecide(b *testing.B) {
 	const workers = 1000
 	f := newFixture(workers)
--- a/coordination/balance/count.go
+++ b/coordination/balance/count.go
@@ -14,79 +14,80 @@
 )
 
 const (
-	// memory is the time in which counts fade to 1/e: long enough that a key
-	// with one request a second is told from one with two, short enough to
-	// follow demand that moves between regions in half a minute.
-	memory = 8 * time.Second
-	// workMemory is that of how long workers take: short, so that the slow
-	// first runs of keys are soon forgotten.
-	workMemory = 1500 * time.Millisecond
-	// leastCounted keeps the first counts from looking like a flood, in parts
-	// of memory.
-	leastCounted = 0.1
+	// decayTime is the time in which counts decay to 1/e: long enough to tell a key with
+	// one request a second from one with two, short enough to follow demand that moves
+	// between regions.
+	decayTime = 8 * time.Second
+	// workDecayTime is the decay time of service times: short, so that the slow first
+	// requests of keys are soon discounted.
+	workDecayTime = 1500 * time.Millisecond
+	// minCountedFraction is a lower bound of the counting time, as a fraction of
+	// decayTime, so that the first counts do not result in excessive rates.
+	minCountedFraction = 0.1
 )
 
-// count is a sum that fades.
-type count struct {
-	value  float64
-	last   time.Time
-	memory time.Duration
+// decayingSum is a sum that decays exponentially.
+type decayingSum struct {
+	value     float64
+	updatedAt time.Time
+	decayTime time.Duration
 }
 
-func (c *count) add(n float64, now time.Time) {
-	c.value = c.at(now) + n
-	c.last = now
+func (c *decayingSum) add(n float64, now time.Time) {
+	c.value = c.valueAt(now) + n
+	c.updatedAt = now
 }
 
-func (c *count) at(now time.Time) float64 {
-	return c.value * math.Exp(-now.Sub(c.last).Seconds()/c.memory.Seconds())
+func (c *decayingSum) valueAt(now time.Time) float64 {
+	return c.value * math.Exp(-now.Sub(c.updatedAt).Seconds()/c.decayTime.Seconds())
 }
 
-// add adds to one of at most maxKeys counts.
-func add[K comparable](counts map[K]*count, key K, n float64, memory time.Duration, now time.Time) {
-	c, ok := counts[key]
+// addToSum adds to the sum of a key, and drops the value if the key is new and there are
+// maxKeys already.
+func addToSum[K comparable](sums map[K]*decayingSum, key K, n float64, decay time.Duration, now time.Time) {
+	c, ok := sums[key]
 	if !ok {
-		if len(counts) >= maxKeys {
+		if len(sums) >= maxKeys {
 			return
 		}
-		c = &count{last: now, memory: memory}
-		counts[key] = c
+		c = &decayingSum{updatedAt: now, decayTime: decay}
+		sums[key] = c
 	}
 	c.add(n, now)
 }
 
-// perSecond returns a count's rate, also while this VM has not counted for long.
-func (b *Balancer) perSecond(c *count, now time.Time) float64 {
-	counted := now.Sub(b.started).Seconds() / memory.Seconds()
-	return c.at(now) / (memory.Seconds() * (1 - math.Exp(-max(counted, leastCounted))))
+// perSecond returns the rate of a sum, corrected for a short counting time.
+func (b *Balancer) perSecond(c *decayingSum, now time.Time) float64 {
+	elapsed := now.Sub(b.started).Seconds() / decayTime.Seconds()
+	return c.valueAt(now) / (decayTime.Seconds() * (1 - math.Exp(-max(elapsed, minCountedFraction))))
 }
 
-// perAnswer returns how long a worker of a service takes, in seconds, or 0 if
-// too few have answered.
-func (b *Balancer) perAnswer(service string, now time.Time) float64 {
+// meanServiceTime returns the mean duration of a service's answers, in seconds, or 0 if
+// too few have been counted.
+func (b *Balancer) meanServiceTime(service string, now time.Time) float64 {
 	answers, ok := b.answers[service]
-	if !ok || answers.at(now) < 1 {
+	if !ok || answers.valueAt(now) < 1 {
 		return 0
 	}
-	return b.took[service].at(now) / answers.at(now)
+	return b.totalTime[service].valueAt(now) / answers.valueAt(now)
 }
 
-// keyed is a key with its demand.
-type keyed struct {
+// keyLoad is a key with its request rate.
+type keyLoad struct {
 	key  demand.Key
 	id   holders.Key
 	rate float64 // requests a second
 }
 
 // keysByService returns all keys with their rates, the busiest first.
-func (b *Balancer) keysByService(now time.Time) map[string][]keyed {
-	services := make(map[string][]keyed)
+func (b *Balancer) keysByService(now time.Time) map[string][]keyLoad {
+	services := make(map[string][]keyLoad)
 	for key, c := range b.keys {
 		id := holders.KeyOf(key.Service, key.Region, key.Hash)
-		services[key.Service] = append(services[key.Service], keyed{key: key, id: id, rate: b.perSecond(c, now)})
+		services[key.Service] = append(services[key.Service], keyLoad{key: key, id: id, rate: b.perSecond(c, now)})
 	}
 	for _, keys := range services {
-		slices.SortFunc(keys, func(a, b keyed) int {
+		slices.SortFunc(keys, func(a, b keyLoad) int {
 			return cmp.Or(cmp.Compare(b.rate, a.rate), cmp.Compare(a.id, b.id))
 		})
 	}
--- a/coordination/balance/spread.go
+++ b/coordination/balance/spread.go
@@ -12,57 +12,58 @@
 )
 
 const (
-	// pressed is the part of a worker's slots in use above which keys are moved
-	// away from it: below, hardly anybody waits, and a move only costs.
-	pressed = 0.75
-	// leastGain is by how much more of its slots a worker must have in use than
-	// the one that gets the key, after the move.
-	leastGain = 0.05
-	// movesPart bounds the keys of a service that are moved at a decision.
-	movesPart = 0.05
+	// overloadThreshold is the fraction of a worker's slots in use above which keys are
+	// moved away from it. Below, requests hardly wait, and a move has only costs.
+	overloadThreshold = 0.75
+	// minGain is the least difference in utilization by which the source of a key, before
+	// the move, must exceed the target after the move.
+	minGain = 0.05
+	// maxMovedFraction bounds the fraction of a service's keys moved in one decision.
+	maxMovedFraction = 0.05
 )
 
-// load is what a worker carries by the keys it holds.
-type load struct {
+// workerLoad is the load of a worker by the keys that it holds.
+type workerLoad struct {
 	worker Worker
-	keys   []keyed // the busiest first
-	rate   float64 // requests a second
+	keys   []keyLoad // the busiest first
+	rate   float64   // requests a second
 }
 
-func (l *load) add(k keyed) {
+func (l *workerLoad) addKey(k keyLoad) {
 	l.keys = append(l.keys, k)
 	l.rate += k.rate
 }
 
-func (l *load) drop(at int) {
+func (l *workerLoad) removeKey(at int) {
 	l.rate -= l.keys[at].rate
 	l.keys = slices.Delete(l.keys, at, at+1)
 }
 
-// spread is which worker holds which keys of one service.
-type spread struct {
-	loads map[string]*load
-	// perAnswer is how long a request takes, in seconds.
-	perAnswer float64
+// assignment maps the workers of one service to the keys that they hold.
+type assignment struct {
+	loads map[string]*workerLoad
+	// serviceTime is the mean duration of a request, in seconds.
+	serviceTime float64
 }
 
-// use returns the part of a worker's slots that is in use if it carries so much
-// more.
-func (s *spread) use(l *load, more float64) float64 {
-	return (l.rate + more) * s.perAnswer / float64(max(l.worker.Slots, 1))
+// utilization returns the fraction of a worker's slots in use if its rate grows by
+// extraRate.
+func (s *assignment) utilization(l *workerLoad, extraRate float64) float64 {
+	return (l.rate + extraRate) * s.serviceTime / float64(max(l.worker.Slots, 1))
 }
 
-// even moves keys from pressed workers, the busiest first, and returns how many.
-func (s *spread) even(change holders.Change) int {
+// relieveOverloaded moves keys away from overloaded workers, the busiest worker first, and
+// returns how many it moved.
+func (s *assignment) relieveOverloaded(change holders.Change) int {
 	keys := 0
 	for _, l := range s.loads {
 		keys += len(l.keys)
 	}
-	left := 1 + int(movesPart*float64(keys))
-	moved := s.fill(change)
-	for _, from := range s.byUse() {
-		for moved < left && !from.worker.Full && s.use(from, 0) > pressed {
-			k, to := s.move(from)
+	maxMoves := 1 + int(maxMovedFraction*float64(keys))
+	moved := s.fillEmptyWorkers(change)
+	for _, from := range s.byUtilization() {
+		for moved < maxMoves && !from.worker.Full && s.utilization(from, 0) > overloadThreshold {
+			k, to := s.moveKey(from)
 			if to == nil {
 				break
 			}
@@ -73,97 +74,96 @@
 	return moved
 }
 
-// fill gives each worker that holds no key one of the busiest worker of its
-// region.
-func (s *spread) fill(change holders.Change) int {
+// fillEmptyWorkers moves to each worker without keys the busiest key of the most utilized
+// worker of its region. It returns how many keys it moved.
+func (s *assignment) fillEmptyWorkers(change holders.Change) int {
 	moved := 0
-	for _, to := range s.byUse() {
+	for _, to := range s.byUtilization() {
 		if to.worker.Full || len(to.keys) > 0 {
 			continue
 		}
-		from := s.busiest(to.worker.Region)
+		from := s.mostUtilized(to.worker.Region)
 		if from == nil {
 			continue
 		}
 		k := from.keys[0]
-		from.drop(0)
-		to.add(k)
+		from.removeKey(0)
+		to.addKey(k)
 		change[k.id] = to.worker.ID
 		moved++
 	}
 	return moved
 }
 
-// busiest returns the worker of a region that has most in use, of those that
-// hold two keys or more.
-func (s *spread) busiest(region string) *load {
-	var most *load
+// mostUtilized returns the most utilized worker of a region that holds two keys or more.
+func (s *assignment) mostUtilized(region string) *workerLoad {
+	var most *workerLoad
 	for _, l := range s.loads {
-		if l.worker.Region == region && len(l.keys) > 1 && (most == nil || s.busier(l, most)) {
+		if l.worker.Region == region && len(l.keys) > 1 && (most == nil || s.moreUtilized(l, most)) {
 			most = l
 		}
 	}
 	return most
 }
 
-// busier orders workers by what they have in use, then by their ids.
-func (s *spread) busier(a, b *load) bool {
-	useA, useB := s.use(a, 0), s.use(b, 0)
+// moreUtilized orders workers by utilization, then by id.
+func (s *assignment) moreUtilized(a, b *workerLoad) bool {
+	useA, useB := s.utilization(a, 0), s.utilization(b, 0)
 	return useA > useB || useA == useB && a.worker.ID < b.worker.ID
 }
 
-// keep leaves keys where they were held, though a worker that has joined would
-// get them by hashing: it would be slow with them. A pressed worker lets them go.
-func (s *spread) keep(held map[holders.Key]string, change holders.Change) {
-	for _, l := range s.byUse() {
+// retainHolders keeps keys at their previous holders when hashing reassigns them to a
+// worker that has joined, which would be slow with them. Overloaded workers give them up.
+func (s *assignment) retainHolders(lastHolders map[holders.Key]string, change holders.Change) {
+	for _, l := range s.byUtilization() {
 		for at := len(l.keys) - 1; at >= 0; at-- {
 			k := l.keys[at]
-			before, ok := s.loads[held[k.id]]
-			if !ok || before == l || before.worker.Region != l.worker.Region || s.use(before, k.rate) > pressed {
+			previous, ok := s.loads[lastHolders[k.id]]
+			if !ok || previous == l || previous.worker.Region != l.worker.Region || s.utilization(previous, k.rate) > overloadThreshold {
 				continue
 			}
-			l.drop(at)
-			before.add(k)
-			change[k.id] = before.worker.ID
+			l.removeKey(at)
+			previous.addKey(k)
+			change[k.id] = previous.worker.ID
 		}
 	}
 }
 
-// byUse returns the loads, the busiest worker first.
-func (s *spread) byUse() []*load {
-	return slices.SortedFunc(maps.Values(s.loads), func(a, b *load) int {
-		return cmp.Or(cmp.Compare(s.use(b, 0), s.use(a, 0)), cmp.Compare(a.worker.ID, b.worker.ID))
+// byUtilization returns the loads, the most utilized worker first.
+func (s *assignment) byUtilization() []*workerLoad {
+	return slices.SortedFunc(maps.Values(s.loads), func(a, b *workerLoad) int {
+		return cmp.Or(cmp.Compare(s.utilization(b, 0), s.utilization(a, 0)), cmp.Compare(a.worker.ID, b.worker.ID))
 	})
 }
 
-// move moves the busiest key of a worker for which the idlest one of its region
-// has room. It returns nil if there is none.
-func (s *spread) move(from *load) (keyed, *load) {
-	to := s.idlest(from)
+// moveKey moves the busiest key that the least utilized worker of the region has capacity
+// for. It returns a nil target if there is none.
+func (s *assignment) moveKey(from *workerLoad) (keyLoad, *workerLoad) {
+	to := s.leastUtilized(from)
 	if to == nil {
-		return keyed{}, nil
+		return keyLoad{}, nil
 	}
 	for at, k := range from.keys {
-		after := s.use(to, k.rate)
-		if after > pressed || after+leastGain > s.use(from, 0) {
+		after := s.utilization(to, k.rate)
+		if after > overloadThreshold || after+minGain > s.utilization(from, 0) {
 			continue
 		}
-		from.drop(at)
-		to.add(k)
+		from.removeKey(at)
+		to.addKey(k)
 		return k, to
 	}
-	return keyed{}, nil
+	return keyLoad{}, nil
 }
 
-// idlest returns the worker with the least in use, of a worker's region, that
-// may get keys.
-func (s *spread) idlest(from *load) *load {
-	var least *load
+// leastUtilized returns the least utilized other worker of a worker's region that may get
+// keys.
+func (s *assignment) leastUtilized(from *workerLoad) *workerLoad {
+	var least *workerLoad
 	for _, l := range s.loads {
 		if l.worker.Full || l == from || l.worker.Region != from.worker.Region {
 			continue
 		}
-		if least == nil || s.busier(least, l) {
+		if least == nil || s.moreUtilized(least, l) {
 			least = l
 		}
 	}
--- a/coordination/capacity/capacity_test.go
+++ b/coordination/capacity/capacity_test.go
@@ -26,7 +26,7 @@
 	return list
 }
 
-// newPool returns a pool whose workers have just reported to be idle.
+// newPool returns a pool whose workers have just reported that they are idle.
 func newPool(n, slots int) (*capacity.Pool, *clockwork.FakeClock) {
 	clock := clockwork.NewFakeClock()
 	p := capacity.New(capacity.Config{Now: clock.Now, LeastHeadroom: 10 * share.Percent})
@@ -37,8 +37,7 @@
 	return p, clock
 }
 
-// Whatever senders, clocks, reports and workers do, no slot is taken beyond
-// what is usable, no worker gets more than its slots, and lending keeps headroom.
+// Guards against taking slots beyond the usable ones and lending without headroom.
 func TestNeverMoreThanUsable(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const n, slots = 4, 3
@@ -46,7 +45,7 @@
 		var held []*capacity.Slot
 		var grants []uint64
 		perWorker := make(map[string]int)
-		take := func(s *capacity.Slot, err error) {
+		record := func(s *capacity.Slot, err error) {
 			if err == nil {
 				held = append(held, s)
 				perWorker[s.Worker().ID]++
@@ -59,16 +58,16 @@
 			id := fmt.Sprintf("w%d", rapid.IntRange(0, n-1).Draw(t, "worker"))
 			switch rapid.IntRange(0, 9).Draw(t, "event") {
 			case 0, 1:
-				take(p.TryReserve())
+				record(p.TryReserve())
 			case 2, 3:
 				if len(grants) > 0 {
-					take(p.Redeem(rapid.SampledFrom(grants).Draw(t, "grant")))
+					record(p.Redeem(rapid.SampledFrom(grants).Draw(t, "grant")))
 				}
 			case 4:
 				before := p.Status()
 				g := p.Lend(fmt.Sprintf("vm%d", rapid.IntRange(0, 2).Draw(t, "vm")), rapid.IntRange(0, 20).Draw(t, "want"), 0)
 				if st := p.Status(); st.Lent > before.Lent && st.InUse+st.Lent >= st.Usable {
-					t.Fatalf("lent %d beside %d in use of %d: no headroom", st.Lent, st.InUse, st.Usable)
+					t.Fatalf("%d lent and %d in use of %d usable: no headroom", st.Lent, st.InUse, st.Usable)
 				}
 				grants = append(grants, g.ID)
 			case 5, 6:
@@ -80,24 +79,23 @@
 				}
 			case 7:
 				clock.Advance(time.Duration(rapid.IntRange(0, 12_000).Draw(t, "ms")) * time.Millisecond)
-			case 8: // Reports that lie in both directions.
+			case 8: // Reports with wrong counts in both directions.
 				p.Report(id, capacity.Report{Start: uint64(rapid.IntRange(1, 2).Draw(t, "start")), InFlight: rapid.IntRange(0, 9).Draw(t, "says")})
 			case 9:
 				p.Unreachable(id)
 			}
 			for id, used := range perWorker {
 				if used > slots {
-					t.Fatalf("worker %s got %d of %d slots", id, used, slots)
+					t.Fatalf("worker %s has %d requests at %d slots", id, used, slots)
 				}
 			}
 		}
 	})
 }
 
-// Regression: a drain stalled and reads waited 1 s, as idle lent slots were kept
-// from the hall's own callers.
+// Guards against keeping idle lent slots from the hall's own callers.
 func TestIdleLentSlotsServeOwnCallers(t *testing.T) {
-	Convey("Given a pool that lent all it may", t, func() {
+	Convey("Given a pool that lent all lendable slots", t, func() {
 		p, _ := newPool(1, 5)
 		g := p.Lend("b1", 100, 0)
 		So(g.Slots, ShouldEqual, 4)
@@ -106,7 +104,7 @@
 				_, err := p.TryReserve()
 				So(err, ShouldBeNil)
 			}
-			Convey("and the holder is refused before a worker is asked", func() {
+			Convey("and the holder is refused without a request to a worker", func() {
 				_, err := p.Redeem(g.ID)
 				So(err, ShouldEqual, capacity.ErrFull)
 			})
@@ -114,28 +112,28 @@
 	})
 }
 
-func TestGrantLapsesLaterAtTheLender(t *testing.T) {
+func TestGrantExpiresLaterAtTheLender(t *testing.T) {
 	Convey("Given a grant that a VM holds", t, func() {
 		p, clock := newPool(2, 5)
-		w := capacity.NewHolder(clock.Now)
+		holder := capacity.NewHolder(clock.Now)
 		source := capacity.Source{Service: "lookup", Hall: "b"}
-		asked := clock.Now()
-		clock.Advance(100 * time.Millisecond) // The way there.
+		requested := clock.Now()
+		clock.Advance(100 * time.Millisecond) // transit time of the request
 		g := p.Lend("a1", 3, 0)
-		w.Put(source, capacity.Held{Lender: "b1", ID: g.ID, Slots: g.Slots, Ends: asked.Add(g.Term)})
-		Convey("a holder frozen past the term uses it no more", func() {
-			So(w.Take(source), ShouldNotBeNil)
+		holder.Put(source, capacity.Held{Lender: "b1", ID: g.ID, Slots: g.Slots, Ends: requested.Add(g.Term)})
+		Convey("a holder frozen past the term no longer uses it", func() {
+			So(holder.Take(source), ShouldNotBeNil)
 			clock.Advance(g.Term)
-			So(w.Take(source), ShouldBeNil)
-			Convey("and one that does not look is refused on arrival", func() {
+			So(holder.Take(source), ShouldBeNil)
+			Convey("a holder that ignores the expiry is refused by the lender", func() {
 				clock.Advance(time.Second)
 				_, err := p.Redeem(g.ID)
 				So(err, ShouldEqual, capacity.ErrGrant)
 			})
 		})
-		Convey("at its last moment for the holder it is good at the lender", func() {
+		Convey("a request sent just before the holder's expiry is accepted by the lender", func() {
 			clock.Advance(g.Term - 101*time.Millisecond)
-			So(w.Take(source), ShouldNotBeNil)
+			So(holder.Take(source), ShouldNotBeNil)
 			clock.Advance(400 * time.Millisecond)
 			_, err := p.Redeem(g.ID)
 			So(err, ShouldBeNil)
@@ -144,17 +142,17 @@
 }
 
 func TestLeavingIsStickyForAStart(t *testing.T) {
-	Convey("Given a worker that refused because it leaves", t, func() {
+	Convey("Given a worker that refused a request because it is leaving", t, func() {
 		p, _ := newPool(1, 5)
 		s, err := p.TryReserve()
 		So(err, ShouldBeNil)
 		s.Release(capacity.ResultLeaving)
-		Convey("a report that lies brings it no new work", func() {
+		Convey("a report without the leaving flag brings it no new requests", func() {
 			p.Report("w0", capacity.Report{Start: 1})
 			_, err := p.TryReserve()
 			So(errors.Is(err, capacity.ErrNoWorkers), ShouldBeTrue)
 		})
-		Convey("a new start does", func() {
+		Convey("a restart does", func() {
 			p.Report("w0", capacity.Report{Start: 2})
 			_, err := p.TryReserve()
 			So(err, ShouldBeNil)
@@ -162,41 +160,40 @@
 	})
 }
 
-// Regression: a VM that took a leaving worker over sent it work, since the worker
-// hid that it leaves and only the former owner knew.
+// Guards against sending requests to a leaving worker after another VM took it over.
 func TestTakenOverWorkerThatLeavesGetsNothing(t *testing.T) {
-	Convey("Given a worker whose start 7 is known to leave", t, func() {
+	Convey("Given a worker whose start 7 is known to be leaving", t, func() {
 		p := capacity.New(capacity.Config{})
 		p.SetWorkers([]capacity.Worker{{ID: "w", Address: "10.0.0.1:80", Slots: 5, LeavingStart: 7}})
 		So(p.Status().Usable, ShouldEqual, 0)
-		Convey("it gets nothing while it is of that start", func() {
+		Convey("it gets no requests until it restarts", func() {
 			p.Report("w", capacity.Report{Start: 7})
 			So(p.Status().Usable, ShouldEqual, 0)
 			So(p.LeavingStarts(), ShouldResemble, map[string]uint64{"w": 7})
 		})
-		Convey("a new start is used", func() {
+		Convey("it is used after a restart", func() {
 			p.Report("w", capacity.Report{Start: 8})
 			So(p.Status().Usable, ShouldEqual, 5)
 		})
 	})
 }
 
-func TestWhatIsUsable(t *testing.T) {
+func TestUsableSlots(t *testing.T) {
 	cases := map[string]struct {
 		cold   int
 		report capacity.Report
 		age    time.Duration
 		want   int
 	}{
-		"fresh":                  {report: capacity.Report{Start: 1}, want: 8},
-		"stale":                  {report: capacity.Report{Start: 1}, age: 4 * time.Second, want: 4},
-		"silent":                 {report: capacity.Report{Start: 1}, age: 11 * time.Second, want: 1},
-		"others' work":           {report: capacity.Report{Start: 1, InFlight: 5}, want: 3},
-		"claims to be full":      {report: capacity.Report{Start: 1, InFlight: 50}, want: 1},
-		"cold":                   {cold: 20, report: capacity.Report{Start: 1}, want: 2},
-		"half warm":              {cold: 20, report: capacity.Report{Start: 1, Answered: 10}, want: 5},
-		"warm before it is seen": {cold: 20, report: capacity.Report{Start: 1, Answered: 900}, want: 8},
-		"leaving":                {report: capacity.Report{Start: 1, Leaving: true}, want: 0},
+		"fresh":                {report: capacity.Report{Start: 1}, want: 8},
+		"stale":                {report: capacity.Report{Start: 1}, age: 4 * time.Second, want: 4},
+		"no reports":           {report: capacity.Report{Start: 1}, age: 11 * time.Second, want: 1},
+		"external load":        {report: capacity.Report{Start: 1, InFlight: 5}, want: 3},
+		"reports full":         {report: capacity.Report{Start: 1, InFlight: 50}, want: 1},
+		"cold":                 {cold: 20, report: capacity.Report{Start: 1}, want: 2},
+		"half warm":            {cold: 20, report: capacity.Report{Start: 1, Answered: 10}, want: 5},
+		"warm at first report": {cold: 20, report: capacity.Report{Start: 1, Answered: 900}, want: 8},
+		"leaving":              {report: capacity.Report{Start: 1, Leaving: true}, want: 0},
 	}
 	for name, c := range cases {
 		Convey("A worker of 8 slots, "+name, t, func() {
@@ -236,7 +233,7 @@
 	first.Release(capacity.ResultAnswered)
 	for want := range 4 {
 		if got := <-order; got != want {
-			t.Fatalf("waiter %d came before %d", got, want)
+			t.Fatalf("waiter %d was served before waiter %d", got, want)
 		}
 	}
 	cancel()
@@ -246,7 +243,7 @@
 	}
 	held.Release(capacity.ResultAnswered)
 	if s := p.Status(); s.InUse != 0 || s.Waiting != 0 {
-		t.Fatalf("left behind: %+v", s)
+		t.Fatalf("slots or waiters remain: %+v", s)
 	}
 }
 
--- a/coordination/capacity/choice.go
+++ b/coordination/capacity/choice.go
@@ -5,40 +5,39 @@
 
 import "math/rand/v2"
 
-// Choice says how a pool chooses among its workers with a free slot.
-// It is one of LeastLoaded, TwoChoices, RoundRobin and Random.
-type Choice interface{ choice() }
+// Choice selects among the workers of a pool that have a free slot. It is one of
+// LeastLoaded, TwoChoices, RoundRobin and Random.
+type Choice interface{ selectionPolicy() }
 
-// LeastLoaded takes the worker with the smallest part of its slots in use and,
-// among equals, the one with the shortest answers of late. Since one pool is
-// the only sender to its workers, its counts are exact and nothing is gained by
-// looking at a sample.
+// LeastLoaded picks the worker with the smallest fraction of its slots in use and, among
+// equals, the one with the lowest recent latency. A pool is the only sender to its workers
+// and has exact counts, so sampling would gain nothing.
 type LeastLoaded struct{}
 
-// TwoChoices takes the better of two random workers (power of two choices).
+// TwoChoices picks the better of two random workers (power of two choices).
 type TwoChoices struct{}
 
-// RoundRobin takes the workers in turn. It is the baseline of measurements.
+// RoundRobin picks workers in turn. It is a baseline for measurements.
 type RoundRobin struct{}
 
-// Random takes any worker. It is the baseline of measurements.
+// Random picks a random worker. It is a baseline for measurements.
 type Random struct{}
 
-func (LeastLoaded) choice() {}
-func (TwoChoices) choice()  {}
-func (RoundRobin) choice()  {}
-func (Random) choice()      {}
+func (LeastLoaded) selectionPolicy() {}
+func (TwoChoices) selectionPolicy()  {}
+func (RoundRobin) selectionPolicy()  {}
+func (Random) selectionPolicy()      {}
 
-// choose returns a worker with a free slot, or nil.
-func (p *Pool) choose() *worker {
+// pickWorker returns a worker with a free slot, or nil if there is none.
+func (p *Pool) pickWorker() *worker {
 	n := len(p.order)
 	switch p.cfg.Choice.(type) {
 	case TwoChoices:
 		first, second := p.firstFree(rand.IntN(n)), p.firstFree(rand.IntN(n))
-		return p.better(first, second)
+		return p.preferred(first, second)
 	case RoundRobin:
-		p.turn++
-		return p.firstFree(p.turn % n)
+		p.rotation++
+		return p.firstFree(p.rotation % n)
 	case Random:
 		return p.firstFree(rand.IntN(n))
 	default:
@@ -47,17 +46,17 @@
 }
 
 func (p *Pool) leastLoaded() *worker {
-	// Beginning at another worker each time spreads equals evenly.
-	p.turn++
+	// Starting at a different worker each time spreads requests evenly among equals.
+	p.rotation++
 	n := len(p.order)
 	var best *worker
 	for i := range n {
-		best = p.better(best, p.order[(p.turn+i)%n])
+		best = p.preferred(best, p.order[(p.rotation+i)%n])
 	}
 	return best
 }
 
-// firstFree returns the first worker with a free slot from an index on.
+// firstFree returns the first worker with a free slot, starting at an index.
 func (p *Pool) firstFree(from int) *worker {
 	now := p.cfg.Now()
 	for i := range p.order {
@@ -69,8 +68,9 @@
 	return nil
 }
 
-// better returns the worker to prefer; either may be nil or without a slot.
-func (p *Pool) better(a, b *worker) *worker {
+// preferred returns the less loaded of two workers; either may be nil or without a free
+// slot.
+func (p *Pool) preferred(a, b *worker) *worker {
 	now := p.cfg.Now()
 	if b == nil || b.inUse >= b.usable(now) {
 		return a
@@ -78,7 +78,7 @@
 	if a == nil || a.inUse >= a.usable(now) {
 		return b
 	}
-	// Cross-multiplied to compare the parts in use without fractions.
+	// Cross-multiplied to compare the fractions in use without division.
 	left, right := a.inUse*b.usable(now), b.inUse*a.usable(now)
 	if left != right {
 		if left < right {
--- a/coordination/capacity/grant.go
+++ b/coordination/capacity/grant.go
@@ -8,15 +8,15 @@
 )
 
 const (
-	// DefaultTerm is how long a grant lasts.
+	// DefaultTerm is the default and longest term of a grant.
 	DefaultTerm = 2 * time.Second
-	// termSlack is added to the term at the granter. It covers clocks that
-	// run at different speeds and the way of the last request.
+	// termSlack is added to the term at the lender. It covers clocks that run at different
+	// rates and the transit time of the last request.
 	termSlack = 500 * time.Millisecond
 )
 
-// Grant is the right of another VM to have up to Slots requests in flight at
-// this pool's workers for a term.
+// Grant allows another VM to have up to Slots requests in flight at this pool's workers
+// for a term.
 type Grant struct {
 	ID    uint64
 	Slots int
@@ -24,46 +24,47 @@
 }
 
 type grant struct {
-	holder string
-	slots  int
-	inUse  int
-	lapses time.Time
+	holder    string
+	slots     int
+	inUse     int
+	expiresAt time.Time
 }
 
-// Lend grants up to want slots to a holder, and takes the place of the holder's
-// earlier grant. The grant may be for fewer slots, also for none, in which case
-// its ID is zero.
+// Lend grants up to want slots to a holder and replaces the holder's previous grant. A
+// term that is not positive or exceeds DefaultTerm becomes DefaultTerm. The grant may be
+// for fewer slots, or for none, in which case its ID is zero.
 func (p *Pool) Lend(holder string, want int, term time.Duration) Grant {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if term <= 0 || term > DefaultTerm {
 		term = DefaultTerm
 	}
-	p.lapse()
-	earlier := p.grantOf(holder)
-	slots := min(want, p.lendable()+outstanding(earlier))
-	if slots <= 0 || (earlier == nil && len(p.grants) >= maxGrants) {
+	p.expireGrants()
+	g := p.grantHeldBy(holder)
+	slots := min(want, p.lendable()+unusedSlots(g))
+	if slots <= 0 || (g == nil && len(p.grants) >= maxGrants) {
 		return Grant{}
 	}
-	// Renewal keeps the id, so that requests under way with the earlier grant
-	// are still honoured; the holder counts those in use against the new sum.
-	if earlier == nil {
+	// Renewal keeps the id, so that requests in transit under the previous grant are still
+	// accepted; the holder counts its slots in use against the new total.
+	if g == nil {
 		p.nextGrant++
-		earlier = &grant{holder: holder}
-		p.grants[p.nextGrant] = earlier
+		g = &grant{holder: holder}
+		p.grants[p.nextGrant] = g
 	}
-	earlier.slots = max(slots, earlier.inUse)
-	earlier.lapses = p.cfg.Now().Add(term + termSlack)
-	return Grant{ID: p.idOf(earlier), Slots: earlier.slots, Term: term}
+	g.slots = max(slots, g.inUse)
+	g.expiresAt = p.cfg.Now().Add(term + termSlack)
+	return Grant{ID: p.grantID(g), Slots: g.slots, Term: term}
 }
 
-// Redeem takes a slot under a grant. The grant is looked at anew, whatever the
-// holder believes. It returns ErrGrant, ErrSpent, or ErrFull if own callers use
-// the slots, or fewer are usable, since the grant was given.
+// Redeem reserves a slot under a grant, which is validated again whatever the holder
+// believes. It returns ErrUnknownGrant, ErrGrantExhausted, ErrNoWorkers, or ErrFull if the
+// pool's own callers use or wait for the slots, or fewer are usable than when the grant
+// was given.
 func (p *Pool) Redeem(id uint64) (*Slot, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.lapse()
+	p.expireGrants()
 	g, ok := p.grants[id]
 	if !ok {
 		return nil, ErrGrant
@@ -71,8 +72,8 @@
 	if g.inUse >= g.slots {
 		return nil, ErrSpent
 	}
-	if p.waiting.Len() > 0 {
-		return nil, ErrFull // Own callers come first.
+	if p.waiters.Len() > 0 {
+		return nil, ErrFull // the pool's own callers have precedence
 	}
 	slot, err := p.reserve(g)
 	if err != nil {
@@ -82,38 +83,37 @@
 	return slot, nil
 }
 
-// lendable is what may still be lent: free slots less those that others wait
-// for and less the headroom that must stay, which is one slot at least.
+// lendable returns how many slots may still be lent: the free ones less those that callers
+// wait for and less the headroom, which is at least one slot.
 func (p *Pool) lendable() int {
 	usable := p.usable()
 	headroom := max(1, int(p.cfg.LeastHeadroom.Of(uint64(usable))))
-	return usable - headroom - p.inUse - p.lent() - p.waiting.Len()
+	return usable - headroom - p.inUse - p.lentUnused() - p.waiters.Len()
 }
 
-// lent counts slots that are lent and not in use.
-func (p *Pool) lent() int {
+// lentUnused returns the number of slots that are lent and not in use.
+func (p *Pool) lentUnused() int {
 	now := p.cfg.Now()
 	total := 0
 	for _, g := range p.grants {
-		if now.Before(g.lapses) {
-			total += outstanding(g)
+		if now.Before(g.expiresAt) {
+			total += unusedSlots(g)
 		}
 	}
 	return total
 }
 
-// lapse forgets grants whose term has ended for certain. Their requests in
-// flight stay counted as such.
-func (p *Pool) lapse() {
+// expireGrants removes expired grants. Their requests in flight stay counted by the pool.
+func (p *Pool) expireGrants() {
 	now := p.cfg.Now()
 	for id, g := range p.grants {
-		if !now.Before(g.lapses) {
+		if !now.Before(g.expiresAt) {
 			delete(p.grants, id)
 		}
 	}
 }
 
-func (p *Pool) grantOf(holder string) *grant {
+func (p *Pool) grantHeldBy(holder string) *grant {
 	for _, g := range p.grants {
 		if g.holder == holder {
 			return g
@@ -122,16 +122,16 @@
 	return nil
 }
 
-func (p *Pool) idOf(wanted *grant) uint64 {
+func (p *Pool) grantID(target *grant) uint64 {
 	for id, g := range p.grants {
-		if g == wanted {
+		if g == target {
 			return id
 		}
 	}
 	return 0
 }
 
-func outstanding(g *grant) int {
+func unusedSlots(g *grant) int {
 	if g == nil {
 		return 0
 	}
--- a/coordination/capacity/pool.go
+++ b/coordination/capacity/pool.go
@@ -1,25 +1,25 @@
 // Copyright 2026 The ryehill Authors
 // SPDX-License-Identifier: Apache-2.0
 
-// Package capacity counts the slots of upstreams and lends them to other VMs.
+// Package capacity counts the slots of workers and lends them to other VMs.
 //
-// Each worker of a service is owned by one VM of its hall, and the Pool at that
-// VM is the only place where its slots are counted. Every use goes through the
-// pool: a request of the VM's own callers reserves a slot, and another VM first
-// borrows slots under a Grant of a short term and redeems one at each request.
-// Two rules hold at every moment, whatever the senders believe:
+// Each worker of a service is owned by one VM of its hall, and the Pool at that VM is the
+// only place where its slots are counted. Every use goes through the pool: a request of
+// the VM's own callers reserves a slot, and another VM first borrows slots under a Grant
+// with a short term and redeems one for each request. Two invariants hold, whatever the
+// senders believe:
 //
 //	a slot is taken only while  slots in use < usable slots
 //	slots are lent only while   in use + lent + headroom <= usable slots
 //
-// The first keeps a hall from more work than its workers can carry. The second
-// makes it likely that a grant can be redeemed; but a grant is no claim against
-// the hall's own callers, who may use slots that are lent and idle. A holder who
-// finds them taken is refused before a byte reaches a worker, and runs the
-// request at home. What is usable shrinks when a worker leaves, starts cold,
-// falls silent or reports work that the pool did not send.
+// The first protects the workers from overload. The second makes it likely that a grant
+// can be redeemed, but a grant is no reservation: the hall's own callers may use slots
+// that are lent and idle. A holder that finds them in use is refused before a byte reaches
+// a worker, and runs the request in its own hall. The number of usable slots shrinks when
+// a worker leaves, starts cold, stops reporting or reports requests that the pool did not
+// send.
 //
-// A Holder is the other side: the grants that a VM holds.
+// A GrantHolder is the counterpart: it tracks the grants that a VM holds.
 //
 // # Usage
 //
@@ -41,35 +41,35 @@
 	"github.com/ryehill/ryehill/state/share"
 )
 
-// Refusals of a reservation. None of them used a slot.
+// Errors of a reservation. None of them takes a slot.
 var (
 	ErrFull      = errors.New("capacity: every slot is in use")
 	ErrNoWorkers = errors.New("capacity: no usable worker")
 	ErrQueueFull = errors.New("capacity: too many requests wait for a slot")
 	ErrTimeout   = errors.New("capacity: deadline passed while waiting for a slot")
-	ErrGrant     = errors.New("capacity: no such grant, or it has lapsed")
+	ErrGrant     = errors.New("capacity: unknown or expired grant")
 	ErrSpent     = errors.New("capacity: every slot of the grant is in use")
 )
 
 const (
-	// queuePerSlot bounds how many requests wait, for each usable slot.
+	// queuePerSlot bounds the waiting requests per usable slot.
 	queuePerSlot = 4
 	// maxGrants bounds the grants outstanding at one pool.
 	maxGrants = 4096
 )
 
-// Config sets up a Pool. The zero value is useful.
+// Config configures a Pool. The zero value is valid.
 type Config struct {
 	// Now is the clock, which must not run backwards. Default time.Now.
 	Now func() time.Time
-	// Choice says how a worker is chosen. Default LeastLoaded.
+	// Choice selects the worker of a reservation. Default LeastLoaded.
 	Choice Choice
-	// LeastHeadroom is the part of the usable slots that is never lent.
+	// LeastHeadroom is the fraction of the usable slots that is never lent.
 	LeastHeadroom share.PPM
 }
 
-// Pool counts the slots that one VM owns of one service.
-// It is safe for concurrent use.
+// Pool counts the slots of the workers of one service that one VM owns. It is safe for
+// concurrent use.
 type Pool struct {
 	cfg Config
 
@@ -79,8 +79,8 @@
 	inUse     int
 	grants    map[uint64]*grant
 	nextGrant uint64
-	waiting   *list.List
-	turn      int
+	waiters   *list.List
+	rotation  int
 }
 
 type waiter struct {
@@ -99,19 +99,19 @@
 		cfg:     cfg,
 		workers: make(map[string]*worker),
 		grants:  make(map[uint64]*grant),
-		waiting: list.New(),
+		waiters: list.New(),
 	}
 }
 
-// SetHeadroom changes the part of the usable slots that is never lent.
+// SetHeadroom sets the fraction of the usable slots that is never lent.
 func (p *Pool) SetHeadroom(least share.PPM) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.cfg.LeastHeadroom = least
 }
 
-// SetWorkers replaces the owned workers. A worker that is no longer listed gets
-// no new work at once; its requests in flight stay counted until they end.
+// SetWorkers replaces the owned workers. A worker that is no longer listed gets no new
+// requests; its requests in flight stay counted until they end.
 func (p *Pool) SetWorkers(workers []Worker) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -123,7 +123,7 @@
 			w = &worker{}
 			p.workers[cfg.ID] = w
 		}
-		w.set(cfg, p.cfg.Now())
+		w.configure(cfg, p.cfg.Now())
 	}
 	for id, w := range p.workers {
 		w.owned = listed[id]
@@ -131,11 +131,11 @@
 			delete(p.workers, id)
 		}
 	}
-	p.reorder()
-	p.serveWaiting()
+	p.rebuildOrder()
+	p.serveWaiters()
 }
 
-func (p *Pool) reorder() {
+func (p *Pool) rebuildOrder() {
 	p.order = p.order[:0]
 	for _, w := range p.workers {
 		if w.owned {
@@ -145,49 +145,49 @@
 	sortWorkers(p.order)
 }
 
-// TryReserve takes a slot at once. It returns ErrFull or ErrNoWorkers if none
-// is free, also while others wait.
+// TryReserve reserves a slot without waiting. It returns ErrFull if no slot is free or
+// other requests wait, and ErrNoWorkers if no worker is usable.
 func (p *Pool) TryReserve() (*Slot, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.waiting.Len() > 0 {
+	if p.waiters.Len() > 0 {
 		return nil, ErrFull
 	}
 	return p.reserve(nil)
 }
 
-// Reserve takes a slot, waiting for one in order of arrival until ctx ends.
-// It returns ErrNoWorkers, ErrQueueFull or ErrTimeout.
+// Reserve reserves a slot and waits for one in order of arrival until ctx ends. It returns
+// ErrNoWorkers, ErrQueueFull or ErrTimeout.
 func (p *Pool) Reserve(ctx context.Context) (*Slot, error) {
 	p.mu.Lock()
-	if p.waiting.Len() == 0 {
+	if p.waiters.Len() == 0 {
 		slot, err := p.reserve(nil)
 		if err == nil || errors.Is(err, ErrNoWorkers) {
 			p.mu.Unlock()
 			return slot, err
 		}
 	}
-	if p.waiting.Len() >= max(1, p.usable()*queuePerSlot) {
+	if p.waiters.Len() >= max(1, p.usable()*queuePerSlot) {
 		p.mu.Unlock()
 		return nil, ErrQueueFull
 	}
 	w := &waiter{ready: make(chan *Slot, 1)}
-	place := p.waiting.PushBack(w)
+	element := p.waiters.PushBack(w)
 	p.mu.Unlock()
 
 	select {
 	case slot := <-w.ready:
 		return slot, nil
 	case <-ctx.Done():
-		return p.abandon(w, place)
+		return p.cancelWait(w, element)
 	}
 }
 
-// abandon leaves the queue. A slot that was handed over at the same moment is
-// taken back, since the caller's time is over.
-func (p *Pool) abandon(w *waiter, place *list.Element) (*Slot, error) {
+// cancelWait removes a waiter from the queue. A slot that was handed over at the same time
+// is released, since the caller's deadline has passed.
+func (p *Pool) cancelWait(w *waiter, element *list.Element) (*Slot, error) {
 	p.mu.Lock()
-	p.waiting.Remove(place)
+	p.waiters.Remove(element)
 	p.mu.Unlock()
 	select {
 	case slot := <-w.ready:
@@ -197,7 +197,8 @@
 	return nil, ErrTimeout
 }
 
-// reserve takes a free slot, under the grant g or for an own caller without one.
+// reserve reserves a free slot, under the grant g, or for one of the pool's own callers if
+// g is nil.
 func (p *Pool) reserve(g *grant) (*Slot, error) {
 	usable := p.usable()
 	if usable == 0 && p.inUse == 0 {
@@ -206,23 +207,23 @@
 	if p.inUse >= usable || len(p.order) == 0 {
 		return nil, ErrFull
 	}
-	w := p.choose()
+	w := p.pickWorker()
 	if w == nil {
 		return nil, ErrFull
 	}
-	w.take()
+	w.reserveSlot()
 	p.inUse++
-	return &Slot{pool: p, worker: w, grant: g, taken: p.cfg.Now(), config: w.Worker, start: w.start}, nil
+	return &Slot{pool: p, worker: w, grant: g, reservedAt: p.cfg.Now(), workerConfig: w.Worker, start: w.start}, nil
 }
 
-// serveWaiting hands free slots to those who wait, first come first served.
-func (p *Pool) serveWaiting() {
-	for p.waiting.Len() > 0 {
+// serveWaiters hands free slots to the waiters, first come first served.
+func (p *Pool) serveWaiters() {
+	for p.waiters.Len() > 0 {
 		slot, err := p.reserve(nil)
 		if err != nil {
 			return
 		}
-		w, _ := p.waiting.Remove(p.waiting.Front()).(*waiter)
+		w, _ := p.waiters.Remove(p.waiters.Front()).(*waiter)
 		w.ready <- slot
 	}
 }
@@ -238,14 +239,15 @@
 
 // Status is a snapshot of a pool, in slots.
 type Status struct {
-	// Slots is the nominal sum over owned workers.
+	// Slots is the total of the configured slots of the owned workers.
 	Slots int
-	// Usable is what may be used now, and Free what is left of it.
+	// Usable is the number of slots that may be used now, and Free how many of them are
+	// free.
 	Usable, Free int
-	// InUse counts requests in flight, Lent slots lent and not in use.
+	// InUse counts requests in flight, Lent the slots that are lent and not in use.
 	InUse, Lent int
 	Waiting     int
-	// OldestReport is the age of the oldest worker's last load report.
+	// OldestReport is the age of the least recent load report among the workers.
 	OldestReport time.Duration
 }
 
@@ -254,10 +256,10 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	now := p.cfg.Now()
-	s := Status{Usable: p.usable(), InUse: p.inUse, Lent: p.lent(), Waiting: p.waiting.Len()}
+	s := Status{Usable: p.usable(), InUse: p.inUse, Lent: p.lentUnused(), Waiting: p.waiters.Len()}
 	for _, w := range p.order {
 		s.Slots += w.Slots
-		s.OldestReport = max(s.OldestReport, now.Sub(w.reported))
+		s.OldestReport = max(s.OldestReport, now.Sub(w.reportedAt))
 	}
 	s.Free = max(0, s.Usable-s.InUse-s.Lent-s.Waiting)
 	return s
--- a/coordination/capacity/pools.go
+++ b/coordination/capacity/pools.go
@@ -22,7 +22,7 @@
 	pools map[string]*Pool
 }
 
-// NewPools returns a set whose pools are made on demand from one Config.
+// NewPools returns a set of pools that are created on demand with the same Config.
 func NewPools(cfg Config) *Pools {
 	p := &Pools{cfg: cfg}
 	for i := range p.shards {
@@ -31,8 +31,8 @@
 	return p
 }
 
-// Get returns the pool of a service. The name must be of a known service, as
-// pools are never dropped.
+// Get returns the pool of a service and creates it if needed. The name must be that of a
+// known service, as pools are never removed.
 func (p *Pools) Get(service string) *Pool {
 	s := &p.shards[xxhash.Sum64String(service)%poolShards]
 	s.mu.RLock()
--- a/coordination/capacity/slot.go
+++ b/coordination/capacity/slot.go
@@ -8,16 +8,16 @@
 	"time"
 )
 
-// Result says how the use of a slot ended.
+// Result is the outcome of a request that held a slot.
 type Result int
 
-// Results of a slot.
+// Outcomes of a request.
 const (
 	// ResultAnswered means that the worker answered in full.
 	ResultAnswered Result = iota
 	// ResultUnused means that no byte was sent to the worker.
 	ResultUnused
-	// ResultShed means that the worker refused for lack of room.
+	// ResultShed means that the worker refused because it is overloaded.
 	ResultShed
 	// ResultLeaving means that the worker refused because it leaves.
 	ResultLeaving
@@ -27,21 +27,21 @@
 	ResultBroken
 )
 
-// Slot is the right to have one request in flight at one worker.
+// Slot allows one request in flight at one worker.
 type Slot struct {
-	pool   *Pool
-	worker *worker
-	grant  *grant
-	config Worker
-	start  uint64
-	taken  time.Time
-	once   sync.Once
+	pool         *Pool
+	worker       *worker
+	grant        *grant
+	workerConfig Worker
+	start        uint64
+	reservedAt   time.Time
+	once         sync.Once
 }
 
-// Worker returns the worker that the slot is at.
-func (s *Slot) Worker() Worker { return s.config }
+// Worker returns the worker of the slot.
+func (s *Slot) Worker() Worker { return s.workerConfig }
 
-// Release gives the slot back. Only the first call counts.
+// Release returns the slot to its pool. Only the first call has an effect.
 func (s *Slot) Release(r Result) {
 	s.once.Do(func() { s.pool.release(s, r) })
 }
@@ -55,16 +55,16 @@
 	if s.grant != nil {
 		s.grant.inUse--
 	}
-	p.learn(w, s, r)
+	p.recordResult(w, s, r)
 	if !w.owned && w.inUse == 0 {
 		delete(p.workers, w.ID)
 	}
-	p.serveWaiting()
+	p.serveWaiters()
 }
 
-// learn takes in what a request showed of its worker. Results from an earlier
-// start of the worker say nothing about the present one.
-func (p *Pool) learn(w *worker, s *Slot, r Result) {
+// recordResult updates a worker's state from the result of a request. Results from an
+// earlier start of the worker are ignored.
+func (p *Pool) recordResult(w *worker, s *Slot, r Result) {
 	if s.start != w.start {
 		return
 	}
@@ -73,19 +73,19 @@
 	case ResultAnswered:
 		w.failures = 0
 		w.answered = min(w.answered+1, max(w.ColdAnswers, 0))
-		took := now.Sub(s.taken)
+		elapsed := now.Sub(s.reservedAt)
 		if w.latency == 0 {
-			w.latency = took
+			w.latency = elapsed
 		}
-		w.latency += (took - w.latency) / latencyWeight
+		w.latency += (elapsed - w.latency) / latencyWeight
 	case ResultLeaving:
 		w.leaving = true
 	case ResultUnreachable:
 		w.failures++
 	case ResultShed:
-		// The worker is full of work that this pool did not count: believe
-		// it until the next report.
-		w.foreign = max(w.foreign, w.Slots-w.inUse)
+		// The worker is busy with requests that this pool did not count: assume that it is
+		// full until the next report.
+		w.externalInFlight = max(w.externalInFlight, w.Slots-w.inUse)
 	case ResultUnused, ResultBroken:
 	}
 }
--- a/coordination/outlier/outlier.go
+++ b/coordination/outlier/outlier.go
@@ -1,24 +1,23 @@
 // Copyright 2026 The ryehill Authors
 // SPDX-License-Identifier: Apache-2.0
 
-// Package outlier finds workers that fail too many of their requests, whatever
-// their health checks say.
+// Package outlier detects workers that fail too many of their requests, whatever their
+// health checks report.
 //
-// One VM sends a worker too few requests to tell soon, so VMs add up what they
-// have seen: each VM judges by its own outcomes, and the VM that watches the
-// store for a region by those of all that ask it. A VM tells of a worker only
-// what has failed, with the answers shortly before, so what the sum says of a
-// worker's part of failures is at most too much; the least number of failures
-// guards against that. A worker that is found to fail
-// is spared for a while, and for twice as long each time it is found again soon
-// after. Between, it gets requests as any other, so that one which has recovered
-// is taken back.
+// A single VM sends a worker too few requests to detect this quickly, so VMs aggregate
+// their outcomes: each VM evaluates its own, and the VM that watches the store for a
+// region evaluates those of all VMs that query it. A VM reports a worker only when it has
+// failed, with the answers shortly before, so the aggregated failure ratio is too high
+// rather than too low; the minimum number of failures guards against that. A worker that
+// is detected is ejected for a while, and for twice as long each time it is detected again
+// soon after. Between ejections it gets requests like any other worker, so that one that
+// has recovered is used again.
 //
 // # Usage
 //
-//	judge := outlier.New(outlier.Config{Now: time.Now})
-//	judge.Add(map[string]worker.Outcomes{"w-1": {Answered: 4, Failed: 3}})
-//	for id, left := range judge.Spared() { loads.Of(id).Spare(left) }
+//	detector := outlier.New(outlier.Config{Now: time.Now})
+//	detector.AddOutcomes(map[string]worker.Outcomes{"w-1": {Answered: 4, Failed: 3}})
+//	for id, left := range detector.Ejected() { /* send id nothing for the time left */ }
 package outlier
 
 import (
@@ -30,104 +29,105 @@
 )
 
 const (
-	// memory is the time in which what was seen fades to 1/e.
-	memory = 4 * time.Second
-	// leastFailed and leastPart are the failures, and the part of all
-	// exchanges, from which on a worker is spared. Failures of the application
-	// itself, below one in a hundred, stay far under them.
-	leastFailed = 2.5
-	leastPart   = 0.2
-	// firstSpell and longestSpell bound for how long a worker is spared.
-	firstSpell   = 2 * time.Second
-	longestSpell = 16 * time.Second
-	// forgiven is after how long without a new finding a worker's next spell
-	// is as short as its first.
-	forgiven = 30 * time.Second
-	// maxWorkers bounds the workers that are remembered.
+	// decayTime is the time in which counts decay to 1/e.
+	decayTime = 4 * time.Second
+	// minFailures and minFailureRatio are the number of failures and the fraction of all
+	// exchanges from which on a worker is ejected. The usual failures of an application,
+	// below one in a hundred, stay far below them.
+	minFailures     = 2.5
+	minFailureRatio = 0.2
+	// minEjection and maxEjection bound the duration of an ejection.
+	minEjection = 2 * time.Second
+	maxEjection = 16 * time.Second
+	// resetAfter is the time without a new ejection after which the duration of the next
+	// one starts again at minEjection.
+	resetAfter = 30 * time.Second
+	// maxWorkers bounds the workers that are tracked.
 	maxWorkers = 16384
 )
 
-// Config sets up a Judge. Now is required.
+// Config configures a Detector. Now is required.
 type Config struct{ Now func() time.Time }
 
-// Judge adds up outcomes of workers. It is safe for concurrent use.
+// Judge aggregates the outcomes of workers and detects those that fail too often. It is
+// safe for concurrent use.
 type Judge struct {
 	cfg Config
 
 	mu      sync.Mutex
-	workers map[string]*suspect
+	workers map[string]*workerStats
 }
 
-// suspect is what was seen of one worker.
-type suspect struct {
+// workerStats holds the decaying counts and the ejection state of one worker.
+type workerStats struct {
 	answered, failed float64
-	seen             time.Time
-	spell            time.Duration
-	found            time.Time
-	sparedTo         time.Time
+	updatedAt        time.Time
+	ejection         time.Duration
+	ejectedAt        time.Time
+	ejectedUntil     time.Time
 }
 
-// New returns a judge that has seen nothing.
-func New(cfg Config) *Judge { return &Judge{cfg: cfg, workers: make(map[string]*suspect)} }
+// New returns a Detector without outcomes.
+func New(cfg Config) *Judge { return &Judge{cfg: cfg, workers: make(map[string]*workerStats)} }
 
-// Add takes in outcomes by the id of the worker.
-func (j *Judge) Add(outcomes map[string]worker.Outcomes) {
-	j.mu.Lock()
-	defer j.mu.Unlock()
-	now := j.cfg.Now()
+// Add adds outcomes by worker id.
+func (d *Judge) Add(outcomes map[string]worker.Outcomes) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	now := d.cfg.Now()
 	for id, o := range outcomes {
-		s, ok := j.workers[id]
+		s, ok := d.workers[id]
 		if !ok {
-			if len(j.workers) >= maxWorkers {
-				j.forget(now)
+			if len(d.workers) >= maxWorkers {
+				d.dropStale(now)
 			}
-			s = &suspect{seen: now}
-			j.workers[id] = s
+			s = &workerStats{updatedAt: now}
+			d.workers[id] = s
 		}
 		s.add(o, now)
 	}
 }
 
-func (s *suspect) add(o worker.Outcomes, now time.Time) {
-	fade := math.Exp(-now.Sub(s.seen).Seconds() / memory.Seconds())
-	s.answered = s.answered*fade + float64(o.Answered)
-	s.failed = s.failed*fade + float64(o.Failed)
-	s.seen = now
-	if s.failed < leastFailed || s.failed < leastPart*(s.answered+s.failed) || now.Before(s.sparedTo) {
+func (s *workerStats) add(o worker.Outcomes, now time.Time) {
+	decay := math.Exp(-now.Sub(s.updatedAt).Seconds() / decayTime.Seconds())
+	s.answered = s.answered*decay + float64(o.Answered)
+	s.failed = s.failed*decay + float64(o.Failed)
+	s.updatedAt = now
+	if s.failed < minFailures || s.failed < minFailureRatio*(s.answered+s.failed) || now.Before(s.ejectedUntil) {
 		return
 	}
-	if now.Sub(s.found) > forgiven {
-		s.spell = firstSpell / 2
+	if now.Sub(s.ejectedAt) > resetAfter {
+		s.ejection = minEjection / 2
 	}
-	s.spell = min(2*s.spell, longestSpell)
-	s.found, s.sparedTo = now, now.Add(s.spell)
-	// What follows is judged by itself: half of the failures are enough, since
-	// it has failed before.
-	s.answered, s.failed = 0, leastFailed/2
+	s.ejection = min(2*s.ejection, maxEjection)
+	s.ejectedAt, s.ejectedUntil = now, now.Add(s.ejection)
+	// After an ejection half of the failures are enough, since the worker has failed
+	// before.
+	s.answered, s.failed = 0, minFailures/2
 }
 
-// forget drops the workers that nothing was seen of for long.
-func (j *Judge) forget(now time.Time) {
-	for id, s := range j.workers {
-		if now.Sub(s.seen) > forgiven {
-			delete(j.workers, id)
+// dropStale removes the workers without recent outcomes, or all if too many remain.
+func (d *Judge) dropStale(now time.Time) {
+	for id, s := range d.workers {
+		if now.Sub(s.updatedAt) > resetAfter {
+			delete(d.workers, id)
 		}
 	}
-	if len(j.workers) >= maxWorkers {
-		clear(j.workers)
+	if len(d.workers) >= maxWorkers {
+		clear(d.workers)
 	}
 }
 
-// Spared returns the workers that are to be spared, and for how much longer.
-func (j *Judge) Spared() map[string]time.Duration {
-	j.mu.Lock()
-	defer j.mu.Unlock()
-	now := j.cfg.Now()
-	spared := make(map[string]time.Duration)
-	for id, s := range j.workers {
-		if left := s.sparedTo.Sub(now); left > 0 {
-			spared[id] = left
+// Spared returns the workers that are ejected now, and how much longer.
+func (d *Judge) Spared() map[string]time.Duration {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	now := d.cfg.Now()
+	ejected := make(map[string]time.Duration)
+	for id, s := range d.workers {
+		if left := s.ejectedUntil.Sub(now); left > 0 {
+			ejected[id] = left
 		}
 	}
-	return spared
+	return ejected
 }
--- a/coordination/ratelimit/borrower.go
+++ b/coordination/ratelimit/borrower.go
@@ -10,138 +10,139 @@
 )
 
 const (
-	// maxWaiting bounds the requests of a VM that wait for the pool's answer.
+	// maxWaiting bounds the requests of one VM that wait for an answer of the pool.
 	maxWaiting = 4096
-	// emptyFor bounds for how long a workspace of which the pool had nothing is not
-	// asked for again: long enough that a workspace that asks for many times its limit
-	// costs five questions a second and not one for each request.
-	emptyFor = 200 * time.Millisecond
-	// maxEmpty bounds the workspaces that are remembered as empty.
-	maxEmpty = 4096
+	// exhaustedTTL bounds how long the pool is not queried again for a workspace for which
+	// it had no token. It limits a workspace far above its limit to a few queries a
+	// second.
+	exhaustedTTL = 200 * time.Millisecond
+	// maxExhausted bounds the workspaces that are remembered as exhausted.
+	maxExhausted = 4096
 )
 
-// Want is how many requests are wanted of each workspace.
+// Want maps a workspace to the number of requests wanted for it.
 type Want map[string]int
 
-// Granted is what a pool gives of each workspace.
+// Granted maps a workspace to the pool's grant for it.
 type Granted map[string]Grant
 
-// BorrowerConfig sets up a Borrower. All fields are required.
+// BorrowerConfig configures a Borrower. All fields are required.
 type BorrowerConfig struct {
-	// Ask asks the pool. It returns within a time of its own, with an error if
-	// nothing is known of the pool's answer.
+	// Ask queries the pool. It must return within a bounded time, with an error if the
+	// pool's answer is unknown.
 	Ask func(Want) (Granted, error)
-	// Window is the longest wait that a request is told.
+	// Window is the longest retry delay that a request is given.
 	Window time.Duration
 	Now    func() time.Time
 }
 
-// Borrower asks the pool for requests that the VM's own part has no room for. It has
-// one question under way at a time, and those that come meanwhile go with the next
-// one. It is safe for concurrent use.
+// Borrower queries the pool on behalf of requests for which the VM's local share has no
+// token. It has one query in flight at a time; requests that arrive meanwhile are batched
+// into the next one. It is safe for concurrent use.
 type Borrower struct {
 	cfg BorrowerConfig
 
-	mu      sync.Mutex
-	asking  bool
-	waiting map[string][]chan Grant
-	count   int
-	// empty holds the workspaces of which the pool had nothing.
-	empty map[string]empty
+	mu           sync.Mutex
+	querying     bool
+	waiting      map[string][]chan Grant
+	waitingCount int
+	// exhausted holds the workspaces for which the pool had no token.
+	exhausted map[string]exhausted
 }
 
-// empty is what the pool last told of a workspace of which it had nothing: the time at
-// which a request that it refused may come back, and until when it is not asked again.
-type empty struct{ back, until time.Time }
+// exhausted records that the pool had no token for a workspace: when a refused request may
+// be retried, and until when the pool is not queried for the workspace.
+type exhausted struct{ retryAt, until time.Time }
 
-// NewBorrower returns a borrower.
+// NewBorrower returns a Borrower without pending requests.
 func NewBorrower(cfg BorrowerConfig) *Borrower {
-	return &Borrower{cfg: cfg, waiting: make(map[string][]chan Grant), empty: make(map[string]empty)}
+	return &Borrower{cfg: cfg, waiting: make(map[string][]chan Grant), exhausted: make(map[string]exhausted)}
 }
 
-// Take asks for one request of a workspace, or returns after what time there may be
-// one.
+// Take requests one token for a workspace. If there is none, it returns the delay after
+// which the request may be retried.
 func (b *Borrower) Take(ctx context.Context, name string) (wait time.Duration, ok bool) {
-	answer, wait := b.join(name)
-	if answer == nil {
+	reply, wait := b.enqueue(name)
+	if reply == nil {
 		return wait, false
 	}
 	select {
-	case g := <-answer:
+	case g := <-reply:
 		return g.Wait, g.Requests > 0
 	case <-ctx.Done():
 		return b.cfg.Window, false
 	}
 }
 
-// join puts a request among those that wait, or returns how long the pool has
-// nothing for it.
-func (b *Borrower) join(name string) (answer chan Grant, wait time.Duration) {
+// enqueue adds a request to the next batch, or returns a nil channel and the retry delay
+// if the workspace is exhausted or too many requests wait.
+func (b *Borrower) enqueue(name string) (reply chan Grant, wait time.Duration) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if e, now := b.empty[name], b.cfg.Now(); now.Before(e.until) {
-		return nil, max(e.back.Sub(now), emptyFor)
+	if e, now := b.exhausted[name], b.cfg.Now(); now.Before(e.until) {
+		return nil, max(e.retryAt.Sub(now), exhaustedTTL)
 	}
-	if b.count >= maxWaiting {
-		return nil, emptyFor
+	if b.waitingCount >= maxWaiting {
+		return nil, exhaustedTTL
 	}
-	answer = make(chan Grant, 1)
-	b.waiting[name] = append(b.waiting[name], answer)
-	b.count++
-	if !b.asking {
-		b.asking = true
-		go b.ask()
+	reply = make(chan Grant, 1)
+	b.waiting[name] = append(b.waiting[name], reply)
+	b.waitingCount++
+	if !b.querying {
+		b.querying = true
+		go b.queryPool()
 	}
-	return answer, 0
+	return reply, 0
 }
 
-// ask asks until nobody waits.
-func (b *Borrower) ask() {
+// queryPool sends batches to the pool until no request waits.
+func (b *Borrower) queryPool() {
 	for {
 		b.mu.Lock()
-		waiting := b.waiting
-		if len(waiting) == 0 {
-			b.asking = false
+		batch := b.waiting
+		if len(batch) == 0 {
+			b.querying = false
 			b.mu.Unlock()
 			return
 		}
-		b.waiting, b.count = make(map[string][]chan Grant), 0
+		b.waiting, b.waitingCount = make(map[string][]chan Grant), 0
 		b.mu.Unlock()
-		want := make(Want, len(waiting))
-		for name, list := range waiting {
-			want[name] = len(list)
+		counts := make(Want, len(batch))
+		for name, replies := range batch {
+			counts[name] = len(replies)
 		}
-		granted, err := b.cfg.Ask(want)
-		b.hand(waiting, granted, err)
+		grants, err := b.cfg.Ask(counts)
+		b.deliver(batch, grants, err)
 	}
 }
 
-// hand gives each request that waited its answer.
-func (b *Borrower) hand(waiting map[string][]chan Grant, granted Granted, err error) {
-	for name, list := range waiting {
-		g, known := granted[name]
+// deliver sends each request of a batch its answer. A workspace that is missing from the
+// pool's answer is treated as refused.
+func (b *Borrower) deliver(batch map[string][]chan Grant, grants Granted, err error) {
+	for name, replies := range batch {
+		g, known := grants[name]
 		if err != nil || !known {
-			g = Grant{Wait: emptyFor}
+			g = Grant{Wait: exhaustedTTL}
 		}
-		for i, answer := range list {
-			one := Grant{Wait: g.Wait}
+		for i, reply := range replies {
+			single := Grant{Wait: g.Wait}
 			if i < g.Requests {
-				one.Requests = 1
+				single.Requests = 1
 			}
-			answer <- one
+			reply <- single
 		}
-		if g.Requests < len(list) {
-			b.noteEmpty(name, g.Wait)
+		if g.Requests < len(replies) {
+			b.markExhausted(name, g.Wait)
 		}
 	}
 }
 
-func (b *Borrower) noteEmpty(name string, wait time.Duration) {
+func (b *Borrower) markExhausted(name string, wait time.Duration) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if len(b.empty) >= maxEmpty {
-		clear(b.empty)
+	if len(b.exhausted) >= maxExhausted {
+		clear(b.exhausted)
 	}
 	now := b.cfg.Now()
-	b.empty[name] = empty{back: now.Add(wait), until: now.Add(min(wait, emptyFor))}
+	b.exhausted[name] = exhausted{retryAt: now.Add(wait), until: now.Add(min(wait, exhaustedTTL))}
 }
--- a/coordination/ratelimit/issuer.go
+++ b/coordination/ratelimit/issuer.go
@@ -9,101 +9,102 @@
 )
 
 const (
-	// issuedPart is the part of a worker's limit that is handed out. Two VMs that both take
-	// themselves for its issuer stay within one and a half times the limit.
-	issuedPart = 0.75
-	// isolatedPart is the part of a limit that the VMs of a region which see less than half
-	// of it hand out together.
-	isolatedPart = 0.3
-	// leastIssued is the least rate, in requests a second: a worker that gets nothing cannot
-	// say that it takes requests again.
-	leastIssued = 0.2
-	// issuedBurst is how many requests may follow each other at once.
+	// issuedFraction is the fraction of a worker's limit that is granted. Two VMs that
+	// both act as its issuer stay within one and a half times the limit.
+	issuedFraction = 0.75
+	// isolatedFraction is the fraction of a limit that the VMs of a region grant together
+	// while each of them sees less than half of the region.
+	isolatedFraction = 0.3
+	// minIssueRate is the lowest rate, in requests a second. A worker that gets no request
+	// cannot report that it accepts requests again.
+	minIssueRate = 0.2
+	// issuedBurst is the burst of a worker, in requests.
 	issuedBurst = 2
-	// rankReserve is what must be left beyond a request for each rank of its priority up to
-	// maxRank, so that more urgent requests find something.
-	rankReserve = 0.5
-	maxRank     = 2
-	// longestTurn bounds after what time a request that is refused is told to come back.
-	longestTurn = time.Second
-	// maxIssued bounds the workers of an issuer. Beyond, all are forgotten and start empty.
-	maxIssued = 16_384
+	// priorityReserve is the number of tokens, for each step of priority up to
+	// maxReservePriority, that must remain after a request is granted, so that more urgent
+	// requests find some.
+	priorityReserve    = 0.5
+	maxReservePriority = 2
+	// maxRetryDelay bounds the retry delay of a refused request.
+	maxRetryDelay = time.Second
+	// maxIssuerWorkers bounds the workers of an issuer. An issuer that exceeds it is
+	// cleared, and its buckets start empty again.
+	maxIssuerWorkers = 16_384
 )
 
-// Demand asks for requests to a worker that names a limit.
+// Demand is a query for requests to a worker that states a limit.
 type Demand struct {
-	// Life names the worker.
+	// Life identifies the worker's process.
 	Life string
-	// PerS is its limit in requests a second.
+	// PerS is the worker's limit in requests a second.
 	PerS float64
-	// Live and Listed are how many VMs of the worker's region the issuer takes to be live,
-	// and how many are listed.
+	// Live and Listed are the numbers of VMs of the worker's region that the issuer
+	// considers live, and that are listed.
 	Live, Listed int
-	// Priority is that of the requests, 0 being the most urgent.
+	// Priority is the priority of the requests; 0 is the most urgent.
 	Priority int
-	// Requests is how many are wanted.
+	// Requests is the number of requests wanted.
 	Requests int
 }
 
-// rate returns the rate at which requests are handed out.
+// rate returns the rate at which requests are granted.
 func (d Demand) rate() float64 {
-	rate := max(d.PerS*issuedPart, leastIssued)
+	rate := max(d.PerS*issuedFraction, minIssueRate)
 	if 2*d.Live < d.Listed {
-		return rate * isolatedPart / issuedPart / float64(d.Listed)
+		return rate * isolatedFraction / issuedFraction / float64(d.Listed)
 	}
 	return rate
 }
 
-// Issuer hands out, for all VMs, the requests that workers which name a limit take from
-// them together. Each worker has one issuer, a VM of its region. A worker's bucket starts
-// empty, so that a new issuer adds nothing to what an earlier one let run. It is safe for
-// concurrent use.
+// Issuer grants, for all VMs together, requests to workers that state a limit. Each worker
+// has one issuer, a VM of its region. The bucket of a worker starts empty, so that a new
+// issuer adds nothing to what the previous one granted. It is safe for concurrent use.
 type Issuer struct {
 	now func() time.Time
 
 	mu      sync.Mutex
-	workers map[string]*issued
+	workers map[string]*issuerBucket
 }
 
-// issued is the bucket of one worker.
-type issued struct {
+// issuerBucket is the token bucket of one worker.
+type issuerBucket struct {
 	bucket
-	turns
+	retrySchedule
 }
 
-// NewIssuer returns an issuer that has handed out nothing yet.
+// NewIssuer returns an Issuer without workers.
 func NewIssuer(now func() time.Time) *Issuer {
-	return &Issuer{now: now, workers: make(map[string]*issued)}
+	return &Issuer{now: now, workers: make(map[string]*issuerBucket)}
 }
 
-// Issue grants requests to a worker, up to the number wanted.
+// Issue grants up to d.Requests requests to a worker.
 func (i *Issuer) Issue(d Demand) Grant {
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	now := i.now()
 	b, ok := i.workers[d.Life]
 	if !ok {
-		if len(i.workers) >= maxIssued {
+		if len(i.workers) >= maxIssuerWorkers {
 			clear(i.workers)
 		}
-		b = &issued{}
+		b = &issuerBucket{}
 		i.workers[d.Life] = b
 	}
-	f := flow{rate: d.rate(), capacity: issuedBurst}
-	b.fill(f, now)
-	reserve := rankReserve * float64(min(max(d.Priority, 0), maxRank))
+	params := bucketParams{rate: d.rate(), capacity: issuedBurst}
+	b.refill(params, now)
+	reserve := priorityReserve * float64(min(max(d.Priority, 0), maxReservePriority))
 	var g Grant
-	for g.Requests < d.Requests && b.level >= 1+reserve {
-		b.level--
+	for g.Requests < d.Requests && b.tokens >= 1+reserve {
+		b.tokens--
 		g.Requests++
 	}
 	for range d.Requests - g.Requests {
-		g.Wait = b.next(f, now, longestTurn)
+		g.Wait = b.nextDelay(params, now, maxRetryDelay)
 	}
 	return g
 }
 
-// Forget drops the workers that the function does not want kept.
+// Forget removes the workers for which keep returns false.
 func (i *Issuer) Forget(keep func(life string) bool) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
--- a/coordination/ratelimit/issuer_test.go
+++ b/coordination/ratelimit/issuer_test.go
@@ -12,7 +12,7 @@
 	"github.com/ryehill/ryehill/coordination/ratelimit"
 )
 
-// Cuts, lonely VMs and new issuers must not add up to more than a worker's limit allows.
+// Guards against exceeding a worker's limit during partitions and changes of the issuer.
 func TestIssuersStayWithinTheLimit(t *testing.T) {
 	const window, listed = 4 * time.Second, 12
 	rapid.Check(t, func(t *rapid.T) {
@@ -25,8 +25,8 @@
 		}
 		live := func(int) int { return listed }
 		asked := []int{0}
-		happens := rapid.SampledFrom([]string{"calm", "halves", "all alone", "issuers change"}).Draw(t, "what happens")
-		switch happens {
+		scenario := rapid.SampledFrom([]string{"calm", "halves", "all alone", "issuers change"}).Draw(t, "what happens")
+		switch scenario {
 		case "halves":
 			asked, live = []int{0, 6}, func(int) int { return listed / 2 }
 		case "all alone":
@@ -60,18 +60,18 @@
 				t.Fatalf("%d requests in %s, %.1f allowed", n, window, allowed)
 			}
 		}
-		if len(ran) == 0 && happens == "calm" {
-			t.Fatal("nothing ran, so that nobody would hear of an end")
+		if len(ran) == 0 && scenario == "calm" {
+			t.Fatal("no request ran, so a worker could not report a change")
 		}
 	})
 }
 
-// Urgent requests must go first, and most of a limit must be used.
+// Guards against less urgent requests starving urgent ones, and against unused capacity.
 func TestIssuerServesUrgentRequestsFirst(t *testing.T) {
 	const limit, span = 4.0, 30 * time.Second
 	cases := map[string]struct {
-		urgentEvery, otherEvery int // steps of 10 ms
-		urgentPart, otherPart   float64
+		urgentEvery, otherEvery       int // steps of 10 ms
+		urgentFraction, otherFraction float64
 	}{
 		"urgent ones use it up":  {20, 20, 0.9, 0},
 		"urgent ones leave some": {100, 10, 0.9, 0.4},
@@ -98,10 +98,10 @@
 					last = max(last, g.Wait)
 				}
 			}
-			if c.urgentEvery > 0 && got[0] < c.urgentPart*min(asked[0], 0.75*limit*span.Seconds()) {
+			if c.urgentEvery > 0 && got[0] < c.urgentFraction*min(asked[0], 0.75*limit*span.Seconds()) {
 				t.Errorf("%.0f of %.0f urgent requests pass", got[0], asked[0])
 			}
-			if got[1] < c.otherPart*asked[1]*min(1, 0.75*limit*span.Seconds()/(asked[0]+asked[1])) {
+			if got[1] < c.otherFraction*asked[1]*min(1, 0.75*limit*span.Seconds()/(asked[0]+asked[1])) {
 				t.Errorf("%.0f of %.0f others pass", got[1], asked[1])
 			}
 			if used := (got[0] + got[1]) / (limit * span.Seconds()); used < 0.7 {
--- a/coordination/ratelimit/lender.go
+++ b/coordination/ratelimit/lender.go
@@ -8,45 +8,44 @@
 	"time"
 )
 
-// driftPart is how much longer than the pool a lender takes a loan to last, in parts
-// of LoanFor: clocks that differ by less in their rates are borne.
-const driftPart = 0.1
+// driftFraction is the fraction of LoanDuration by which the lender extends its own view of a
+// loan, so that clocks whose rates differ by less cannot lend a share twice.
+const driftFraction = 0.1
 
-// Lender lends a VM's parts to one pool at a time: it lends them to another one only
-// after the earlier loan has ended for certain. The end of a loan is told by the
-// clock of the pool, so that one which is long on its way lasts no longer. It is safe
-// for concurrent use.
+// Lender lends a VM's shares to one pool at a time: it switches to another pool only once
+// the previous loan has certainly expired. The expiry is expressed in the pool's clock, so
+// that a delayed message does not extend the loan. It is safe for concurrent use.
 type Lender struct {
 	now func() time.Time
 
 	mu sync.Mutex
-	// pool has this VM's parts until the last loan has ended for certain.
+	// pool holds this VM's shares until the time in until.
 	pool  string
 	until time.Time
-	// clocks are those of the VMs that have answered as pools, bounded by maxClocks.
-	clocks map[string]clock
-	// base is the zero of this VM's clock.
-	base time.Time
+	// clocks holds the clocks of VMs that have answered as pools, at most maxClocks.
+	clocks map[string]poolClock
+	// epoch is the origin of this VM's clock readings.
+	epoch time.Time
 }
 
-// clock is what is known of the clock of a pool's process: the number of its start,
-// and by what it is ahead of this VM's at least.
-type clock struct {
-	start  uint64
-	offset time.Duration
+// poolClock describes the clock of a pool's process: the number of the process's start and
+// a lower bound of the clock's offset from this VM's clock.
+type poolClock struct {
+	processStart uint64
+	offset       time.Duration
 }
 
 // maxClocks bounds the pools whose clocks are remembered.
 const maxClocks = 64
 
-// NewLender returns a lender that has lent nothing.
+// NewLender returns a Lender without a loan.
 func NewLender(now func() time.Time) *Lender {
-	return &Lender{now: now, base: now(), clocks: make(map[string]clock)}
+	return &Lender{now: now, epoch: now(), clocks: make(map[string]poolClock)}
 }
 
-// Offer returns what to tell a pool: up to when, by its process's clock, it has this
-// VM's parts. It returns false while the pool's clock is not known or another one has
-// the parts.
+// Offer starts or renews the loan to a pool. It returns the start number of the pool's
+// process and when the loan ends by the clock of that process. It returns false while the
+// pool's clock is unknown or another pool holds the shares.
 func (l *Lender) Offer(pool string) (start uint64, until time.Duration, ok bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -58,29 +57,28 @@
 	if !known {
 		return 0, 0, false
 	}
-	l.pool, l.until = pool, now.Add(LoanFor+time.Duration(driftPart*float64(LoanFor)))
-	return c.start, now.Sub(l.base) + c.offset + LoanFor, true
+	l.pool, l.until = pool, now.Add(LoanFor+time.Duration(driftFraction*float64(LoanFor)))
+	return c.processStart, now.Sub(l.epoch) + c.offset + LoanFor, true
 }
 
-// Answered takes in an answer of a pool: the start of its process and what its clock
-// showed.
+// Answered records a pool's answer: the start number of its process and its clock reading.
 func (l *Lender) Answered(pool string, start uint64, reading time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if len(l.clocks) >= maxClocks {
 		clear(l.clocks)
 	}
-	l.clocks[pool] = clock{start: start, offset: reading - l.now().Sub(l.base)}
+	l.clocks[pool] = poolClock{processStart: start, offset: reading - l.now().Sub(l.epoch)}
 }
 
-// Holds returns the pool that has this VM's parts now.
+// Holds returns the pool that holds this VM's shares now, if any.
 func (l *Lender) Holds() (pool string, ok bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.pool, l.now().Before(l.until)
 }
 
-// Returned notes that a pool has confirmed that it gave the parts back.
+// Returned records that a pool has confirmed the return of the shares.
 func (l *Lender) Returned(pool string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/coordination/ratelimit/own.go
+++ b/coordination/ratelimit/own.go
@@ -12,23 +12,24 @@
 	"github.com/ryehill/ryehill/state/workspace"
 )
 
-// Config sets up an Own. All fields are required.
+// Config configures a LocalLimiter. All fields are required.
 type Config struct {
 	Bounds Bounds
-	// VMs returns how many VMs are listed, live or not; 0 while that is unknown.
+	// VMs returns the number of listed VMs, live or not; 0 while that is unknown.
 	VMs func() int
 	Now func() time.Time
 }
 
 const (
 	shardCount = 16
-	// maxBuckets bounds the workspaces of a shard: 16 shards hold 65,536 of 64 bytes
-	// each. Beyond, all are forgotten and start empty.
+	// maxBuckets bounds the workspaces of one shard. A shard that exceeds it is cleared,
+	// and its buckets start empty again.
 	maxBuckets = 4096
 )
 
-// Own is the own parts of a VM. Nobody else's word matters to it. It is safe for
-// concurrent use; workspaces are in shards, each under a lock of its own.
+// Own holds the token buckets of a VM's local shares, which it uses without asking any
+// other VM. It is safe for concurrent use; workspaces are spread over shards with a lock
+// each.
 type Own struct {
 	cfg    Config
 	shards [shardCount]shard
@@ -37,58 +38,59 @@
 type shard struct {
 	mu      sync.Mutex
 	buckets map[string]*bucket
-	// began is when the shard was made, and since when a workspace that it has not
-	// met could have been given tokens.
-	began time.Time
+	// createdAt is when the shard was created or last cleared. A new bucket is refilled
+	// from then on.
+	createdAt time.Time
 }
 
-// NewOwn returns own parts that are empty.
+// NewOwn returns a LocalLimiter whose buckets are empty.
 func NewOwn(cfg Config) *Own {
-	o := &Own{cfg: cfg}
-	for i := range o.shards {
-		o.shards[i] = shard{buckets: make(map[string]*bucket), began: cfg.Now()}
+	l := &Own{cfg: cfg}
+	for i := range l.shards {
+		l.shards[i] = shard{buckets: make(map[string]*bucket), createdAt: cfg.Now()}
 	}
-	return o
+	return l
 }
 
-// Take takes a request of a workspace out of the VM's own part.
-func (o *Own) Take(name string, limit workspace.Limit) bool {
-	s, f, now := o.shard(name), o.flow(limit), o.cfg.Now()
+// Take takes a token of a workspace from the VM's local share, and reports whether there
+// was one.
+func (l *Own) Take(name string, limit workspace.Limit) bool {
+	s, params, now := l.shard(name), l.bucketParams(limit), l.cfg.Now()
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	b := s.bucket(name, now)
-	b.fill(f, now)
-	return b.take(1) == 1
+	b.refill(params, now)
+	return b.takeTokens(1) == 1
 }
 
-// Refund gives a request back.
-func (o *Own) Refund(name string) {
-	s := o.shard(name)
+// Refund returns the token of a request to its bucket.
+func (l *Own) Refund(name string) {
+	s := l.shard(name)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if b, ok := s.buckets[name]; ok {
-		b.level++
+		b.tokens++
 	}
 }
 
-func (o *Own) flow(limit workspace.Limit) flow {
-	own, _ := o.cfg.Bounds.divide(limit, o.cfg.VMs())
-	return own
+func (l *Own) bucketParams(limit workspace.Limit) bucketParams {
+	local, _ := l.cfg.Bounds.splitShare(limit, l.cfg.VMs())
+	return local
 }
 
-func (o *Own) shard(name string) *shard { return &o.shards[xxhash.Sum64String(name)%shardCount] }
+func (l *Own) shard(name string) *shard { return &l.shards[xxhash.Sum64String(name)%shardCount] }
 
-// bucket returns the bucket of a workspace. One that the shard has not met has been
-// filled since the shard began.
+// bucket returns the bucket of a workspace. A new one is refilled from the shard's
+// creation on.
 func (s *shard) bucket(name string, now time.Time) *bucket {
 	if b, ok := s.buckets[name]; ok {
 		return b
 	}
 	if len(s.buckets) >= maxBuckets {
 		clear(s.buckets)
-		s.began = now // What was taken is forgotten, so all start empty.
+		s.createdAt = now // Taken tokens are no longer known, so all buckets start empty.
 	}
-	b := &bucket{filled: s.began}
+	b := &bucket{lastRefill: s.createdAt}
 	s.buckets[name] = b
 	return b
 }
--- a/coordination/ratelimit/pool.go
+++ b/coordination/ratelimit/pool.go
@@ -11,174 +11,173 @@
 )
 
 const (
-	// LoanFor is for how long a VM lends its parts, from the moment that it says so:
-	// long enough that two of three renewals may be lost, short enough that another
-	// VM of the region takes over soon after a pool has died.
+	// LoanFor is the duration of a loan, from the moment that the VM offers it: long
+	// enough that two of three renewals may be lost, short enough that another VM of the
+	// region takes over soon after a pool fails.
 	LoanFor = 750 * time.Millisecond
 	// maxLenders bounds the VMs that lend to one pool.
 	maxLenders = 4096
-	// maxPooled bounds the workspaces of a pool: 10 MB. Beyond, all are forgotten and
-	// start empty.
-	maxPooled = 65_536
+	// maxPoolWorkspaces bounds the workspaces of a pool. A pool that exceeds it is
+	// cleared, and its buckets start empty again.
+	maxPoolWorkspaces = 65_536
 )
 
-// Loan is what a VM lends to a pool: its parts of all workspaces.
+// Loan is one VM's loan of its shares of all workspaces to a pool.
 type Loan struct {
 	VM string
-	// VMs is among how many the lender takes each allowance to be divided.
+	// VMs is the number of VMs among which the lender divides each allowance.
 	VMs int
-	// Until is when the loan ends, by the clock of the pool. A time that has passed
-	// ends it at once.
+	// Until is when the loan expires, by the clock of the pool. A time in the past ends
+	// the loan at once.
 	Until time.Time
 }
 
-// Grant is what a pool gives for one workspace.
+// Grant is the answer to a request for tokens of one workspace or worker.
 type Grant struct {
 	Requests int
-	// Wait is, where less is granted than was wanted, after what time the last of those
-	// that are left may come back.
+	// Wait is the delay after which the last of the refused requests may be retried, if
+	// fewer requests are granted than were wanted.
 	Wait time.Duration
 }
 
-// Pool hands out what other VMs, and its own one, lend it. It is safe for concurrent
-// use.
+// Pool grants requests from the shares that other VMs, and its own VM, lend to it. It is
+// safe for concurrent use.
 type Pool struct {
 	bounds Bounds
 	now    func() time.Time
 
 	mu      sync.Mutex
 	lenders map[string]Loan
-	// lent counts the lenders by the number of VMs that they divide by; it changes
-	// with them, at the moment since.
-	lent    map[int]int
-	since   time.Time
-	buckets map[string]*pooled
+	// lendersByVMs counts the lenders by the number of VMs among which they divide
+	// allowances. lendersChanged is when they last changed or the buckets were cleared.
+	lendersByVMs   map[int]int
+	lendersChanged time.Time
+	buckets        map[string]*poolBucket
 }
 
-// pooled is the bucket of a workspace with the limit that it was last filled by.
-type pooled struct {
+// poolBucket is the bucket of a workspace with the limit of its last refill.
+type poolBucket struct {
 	bucket
 	limit workspace.Limit
-	turns
+	retrySchedule
 }
 
-// turns are the moments at which requests that were refused may come back.
-type turns struct {
-	// promised is up to when what comes is promised to them.
-	promised time.Time
+// retrySchedule spreads the retries of refused requests over time.
+type retrySchedule struct {
+	// reservedUntil is the time up to which future tokens are reserved for refused
+	// requests.
+	reservedUntil time.Time
 }
 
-// next returns after what time the next request that is refused may come back: each
-// gets a moment of its own, at the pace at which requests may run. Clients come back
-// once, so one that is told the same moment as all others is refused for good. Of the
-// requests of the two seconds after 74 VMs had lost power, 833 and 528 were refused for
-// good on two days, and 1,069 and 792 while each was told when the next token comes.
-func (t *turns) next(f flow, now time.Time, longest time.Duration) time.Duration {
-	if f.rate <= 0 {
-		return longest
+// nextDelay returns the delay after which a refused request may be retried. Each request
+// gets a slot of its own at the refill rate: clients retry once, and if all of them
+// retried at the time of the next token, most would be refused for good.
+func (s *retrySchedule) nextDelay(params bucketParams, now time.Time, maxDelay time.Duration) time.Duration {
+	if params.rate <= 0 {
+		return maxDelay
 	}
-	if t.promised.Before(now) {
-		t.promised = now
+	if s.reservedUntil.Before(now) {
+		s.reservedUntil = now
 	}
-	if latest := now.Add(longest); t.promised.After(latest) {
-		t.promised = latest
-		return longest
+	if latest := now.Add(maxDelay); s.reservedUntil.After(latest) {
+		s.reservedUntil = latest
+		return maxDelay
 	}
-	t.promised = t.promised.Add(time.Duration(float64(time.Second) / f.rate))
-	return min(t.promised.Sub(now), longest)
+	s.reservedUntil = s.reservedUntil.Add(time.Duration(float64(time.Second) / params.rate))
+	return min(s.reservedUntil.Sub(now), maxDelay)
 }
 
-// NewPool returns a pool that was lent nothing.
+// NewPool returns a Pool without loans.
 func NewPool(bounds Bounds, now func() time.Time) *Pool {
 	return &Pool{
-		bounds: bounds, now: now, since: now(), lenders: make(map[string]Loan), lent: make(map[int]int), buckets: make(map[string]*pooled),
+		bounds: bounds, now: now, lendersChanged: now(), lenders: make(map[string]Loan), lendersByVMs: make(map[int]int), buckets: make(map[string]*poolBucket),
 	}
 }
 
-// Lend takes in a loan, which replaces the lender's earlier one. A loan never lasts
-// for longer than LoanFor.
+// Lend adds a loan, which replaces the lender's earlier one. A loan lasts for LoanDuration at
+// most.
 func (p *Pool) Lend(l Loan) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	now := p.now()
-	p.expire(now)
+	p.expireLoans(now)
 	if latest := now.Add(LoanFor); l.Until.After(latest) {
 		l.Until = latest
 	}
-	before, known := p.lenders[l.VM]
+	previous, known := p.lenders[l.VM]
 	switch {
 	case l.VMs < 1 || !l.Until.After(now):
 		if known {
-			p.drop(before, now)
+			p.removeLoan(previous, now)
 		}
-	case known && before.VMs == l.VMs:
+	case known && previous.VMs == l.VMs:
 		p.lenders[l.VM] = l
 	case known || len(p.lenders) < maxLenders:
 		if known {
-			p.drop(before, now)
+			p.removeLoan(previous, now)
 		}
-		p.change(now)
+		p.refillAll(now)
 		p.lenders[l.VM] = l
-		p.lent[l.VMs]++
+		p.lendersByVMs[l.VMs]++
 	}
 }
 
-// Lenders returns how many VMs lend to this one.
+// Lenders returns the number of VMs that lend to the pool.
 func (p *Pool) Lenders() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.expire(p.now())
+	p.expireLoans(p.now())
 	return len(p.lenders)
 }
 
-// Take grants requests of a workspace, up to a number.
-func (p *Pool) Take(name string, limit workspace.Limit, most int) Grant {
+// Take grants up to maxTokens requests of a workspace.
+func (p *Pool) Take(name string, limit workspace.Limit, maxTokens int) Grant {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	now := p.now()
-	p.expire(now)
+	p.expireLoans(now)
 	b := p.bucket(name, limit)
-	b.fill(p.flow(b.limit), now)
+	b.refill(p.bucketParams(b.limit), now)
 	b.limit = limit
-	f := p.flow(limit)
-	b.fill(f, now)
-	g := Grant{Requests: b.take(most)}
-	for range most - g.Requests {
-		g.Wait = b.next(f, now, p.bounds.Window)
+	params := p.bucketParams(limit)
+	b.refill(params, now)
+	g := Grant{Requests: b.takeTokens(maxTokens)}
+	for range maxTokens - g.Requests {
+		g.Wait = b.nextDelay(params, now, p.bounds.Window)
 	}
 	return g
 }
 
-// bucket returns the bucket of a workspace. One that nobody has asked for yet has
-// been filled since the lenders changed.
-func (p *Pool) bucket(name string, limit workspace.Limit) *pooled {
+// bucket returns the bucket of a workspace. A new one is refilled from the last change of
+// the lenders on.
+func (p *Pool) bucket(name string, limit workspace.Limit) *poolBucket {
 	b, ok := p.buckets[name]
 	if ok {
 		return b
 	}
-	if len(p.buckets) >= maxPooled {
+	if len(p.buckets) >= maxPoolWorkspaces {
 		clear(p.buckets)
-		p.since = p.now()
+		p.lendersChanged = p.now()
 	}
-	b = &pooled{bucket: bucket{filled: p.since}, limit: limit}
+	b = &poolBucket{bucket: bucket{lastRefill: p.lendersChanged}, limit: limit}
 	p.buckets[name] = b
 	return b
 }
 
-// flow returns the bucket that is made of what is lent of a workspace. What a VM that
-// is cut off from all others lends itself makes at least one request at a time.
-func (p *Pool) flow(limit workspace.Limit) flow {
+// bucketParams returns the parameters of a workspace's bucket from the portions that are
+// lent.
+func (p *Pool) bucketParams(limit workspace.Limit) bucketParams {
 	amount := 0.0
-	for vms, lenders := range p.lent {
-		_, lent := p.bounds.divide(limit, vms)
+	for vms, lenders := range p.lendersByVMs {
+		_, lent := p.bounds.splitShare(limit, vms)
 		amount += lent * float64(lenders)
 	}
-	return flowOf(amount, p.bounds.Window+GrantFor)
+	return paramsFor(amount, p.bounds.Window+GrantDuration)
 }
 
-// expire ends the loans whose time is over, in the order of their ends: what each
-// brought until then counts, and nothing after.
-func (p *Pool) expire(now time.Time) {
+// expireLoans removes expired loans in the order of their expiry, so that each one counts
+// until its end and not longer.
+func (p *Pool) expireLoans(now time.Time) {
 	for {
 		var first Loan
 		for _, l := range p.lenders {
@@ -189,23 +188,23 @@
 		if first.VM == "" {
 			return
 		}
-		p.drop(first, first.Until)
+		p.removeLoan(first, first.Until)
 	}
 }
 
-// drop ends a loan.
-func (p *Pool) drop(l Loan, when time.Time) {
-	p.change(when)
+// removeLoan ends a loan at the given time.
+func (p *Pool) removeLoan(l Loan, when time.Time) {
+	p.refillAll(when)
 	delete(p.lenders, l.VM)
-	if p.lent[l.VMs]--; p.lent[l.VMs] == 0 {
-		delete(p.lent, l.VMs)
+	if p.lendersByVMs[l.VMs]--; p.lendersByVMs[l.VMs] == 0 {
+		delete(p.lendersByVMs, l.VMs)
 	}
 }
 
-// change fills all buckets up to a moment at which the lenders change.
-func (p *Pool) change(when time.Time) {
+// refillAll refills all buckets up to the time at which the set of lenders changes.
+func (p *Pool) refillAll(when time.Time) {
 	for _, b := range p.buckets {
-		b.fill(p.flow(b.limit), when)
+		b.refill(p.bucketParams(b.limit), when)
 	}
-	p.since = when
+	p.lendersChanged = when
 }
--- a/coordination/ratelimit/ratelimit.go
+++ b/coordination/ratelimit/ratelimit.go
@@ -1,29 +1,29 @@
 // Copyright 2026 The ryehill Authors
 // SPDX-License-Identifier: Apache-2.0
 
-// Package ratelimit bounds what each workspace has run, and what each worker that names a
-// limit gets, at all VMs together, in every window of time, whichever VMs can talk to each
-// other.
+// Package ratelimit limits the requests of each workspace, and the requests to each worker
+// that states a limit, across all VMs and in every time window, also during network
+// partitions.
 //
-// A VM that is cut off must not pass its part, so a workspace's allowance of a
-// window is divided among the VMs that are listed. The larger part of each piece is
-// the VM's own, and needs nobody's word. The rest is lent to one VM of the region,
-// its Pool, which grants it, request by request, to VMs whose own part is used up;
-// pieces too small for one request are lent whole. A pool has no more than was lent
-// to it, and two VMs that both take themselves for the pool divide it: nothing has
-// to be agreed on, and nothing is kept. Every part is a token bucket that starts
-// empty, so a VM that starts again adds nothing to what its earlier life let run.
+// The allowance of a workspace for a window is divided among all listed VMs, so that a VM
+// that is cut off cannot exceed its share. The larger portion of each share is local: the
+// VM uses it without asking any other VM. The rest is lent to one VM of the region, its
+// Pool, which grants it request by request to VMs whose local portion is used up. Shares
+// that are too small to split are lent whole. A pool hands out no more than was lent to
+// it, so two VMs that both act as the pool divide the loans between them: no agreement and
+// no stored state is needed. Every share is a token bucket that starts empty, so a VM that
+// restarts adds nothing to what it granted before.
 //
-// An Issuer bounds in the same way what all VMs together send to a worker that names a
-// limit of its own. That is too small to be divided, so one VM of the worker's region hands
-// out all of it, request by request.
+// An Issuer limits in the same way what all VMs together send to a worker that states a
+// limit of its own. That limit is too small to divide, so one VM of the worker's region
+// grants all of it, request by request.
 //
 // The package does no I/O.
 //
 // # Usage
 //
-//	own := ratelimit.NewOwn(ratelimit.Config{Bounds: bounds, VMs: listed, Now: time.Now})
-//	if !own.Take("schools", limit) { /* ask the pool: Borrower.Take */ }
+//	own := ratelimit.NewLocalLimiter(ratelimit.Config{Bounds: bounds, VMs: listed, Now: time.Now})
+//	if !own.TakeToken("schools", limit) { /* query the pool with Borrower.TakeToken */ }
 package ratelimit
 
 import (
@@ -32,8 +32,8 @@
 	"github.com/ryehill/ryehill/state/workspace"
 )
 
-// Bounds are what the fleet's operators hold quotas to: in no window may more run
-// than (rate x window + burst) x (1 + overage) + slack.
+// Bounds are the operators' bounds on quotas. The requests that run in any window are at
+// most (rate x window + burst) x (1 + overage) + slack.
 type Bounds struct {
 	Window  time.Duration
 	Overage float64
@@ -41,82 +41,80 @@
 }
 
 const (
-	// usedTolerance is the part of overage and slack that is handed out: what a
-	// workspace asks within them is owed to it as well. The rest is kept for VMs that
-	// are not listed yet (one more of 74 is 1.4 %), for clocks, and for requests that
-	// reach their worker some time after they were let pass.
-	usedTolerance = 0.85
-	// mostFlowing is the part of an allowance that comes little by little; the rest may
-	// run at once. A workspace that asks for a little more than its rate for a long
-	// time, but for no more than the tolerance, gets it: of 84 requests a second at a
-	// limit of 66, 53 passed while the flow was the rate.
-	mostFlowing = 0.85
-	// ownPart is the part of a VM's piece that is its own, where the piece is large
-	// enough: callers spread over VMs by chance, and the pool evens that out.
-	ownPart = 0.6
-	// leastPiece is the least piece, in requests a window, of which a part is the VM's
-	// own. The own part of a smaller one lets one request run in a while, of which half
-	// goes unused: with 74 VMs, a workspace that asks for 84 a second at a limit of 66
-	// (a piece of 6) got 53 while pieces from 4 on were divided, and some with limits of
-	// 20 to 28 lost up to a tenth of what they may while those from 1.8 on were.
-	leastPiece = 8
-	// GrantFor is for how long a grant of the pool may be used. What is granted
-	// counts at the pool when it is granted, so this lengthens the window.
-	GrantFor = 200 * time.Millisecond
+	// toleranceFraction is the fraction of overage and slack that is handed out, as a
+	// workspace is entitled to requests within them. The rest covers VMs that are not
+	// listed yet, clock drift, and requests that reach their worker some time after they
+	// were admitted.
+	toleranceFraction = 0.85
+	// refillFraction is the fraction of an allowance that is refilled continuously; the
+	// rest is the burst. It is set so that a workspace which stays within the tolerance
+	// above its rate for a long time is served.
+	refillFraction = 0.85
+	// localFraction is the local portion of a VM's share, where the share is large enough
+	// to split. The lent portion evens out clients that are spread unevenly over VMs.
+	localFraction = 0.6
+	// minSplitShare is the smallest share, in requests a window, that is split. The local
+	// portion of a smaller one would admit a request only now and then and mostly go
+	// unused.
+	minSplitShare = 8
+	// GrantDuration is how long a grant of the pool may be used. The pool counts a request
+	// when it is granted, so this extends the window.
+	GrantDuration = 200 * time.Millisecond
 )
 
-// flow is what a token bucket gets a second, and the most it holds.
-type flow struct{ rate, capacity float64 }
+// bucketParams are the refill rate of a token bucket, in tokens a second, and its
+// capacity.
+type bucketParams struct{ rate, capacity float64 }
 
-// perWindow returns how many requests all VMs may let run in a window.
-func (b Bounds) perWindow(l workspace.Limit) float64 {
+// windowAllowance returns how many requests all VMs together may run in a window.
+func (b Bounds) windowAllowance(l workspace.Limit) float64 {
 	nominal := l.Rate*b.Window.Seconds() + l.Burst
-	return nominal + usedTolerance*(nominal*b.Overage+b.Slack)
+	return nominal + toleranceFraction*(nominal*b.Overage+b.Slack)
 }
 
-// flowOf makes a bucket of an amount a window, which lasts for a time: whatever it
-// held at the start of the time and gets until its end is the amount. It holds a whole
-// request, if the amount is one.
-func flowOf(amount float64, lasts time.Duration) flow {
-	capacity := (1 - mostFlowing) * amount
+// paramsFor returns the parameters of a bucket whose initial content and refill during a
+// period add up to an amount. The capacity is at least one whole request if the amount
+// exceeds one.
+func paramsFor(amount float64, period time.Duration) bucketParams {
+	capacity := (1 - refillFraction) * amount
 	if amount > 1 {
 		capacity = max(capacity, 1)
 	}
-	return flow{rate: (amount - capacity) / lasts.Seconds(), capacity: capacity}
+	return bucketParams{rate: (amount - capacity) / period.Seconds(), capacity: capacity}
 }
 
-// divide returns a VM's own bucket, and the amount a window that it lends, of a
-// workspace's allowance that is divided among a number of VMs.
-func (b Bounds) divide(l workspace.Limit, vms int) (own flow, lent float64) {
+// splitShare returns the parameters of a VM's local bucket and the amount a window that it
+// lends, where the allowance of a workspace is divided among a number of VMs.
+func (b Bounds) splitShare(l workspace.Limit, vms int) (local bucketParams, lent float64) {
 	if vms < 1 || l.None() {
-		return flow{}, 0
+		return bucketParams{}, 0
 	}
-	piece := b.perWindow(l) / float64(vms)
-	if piece < leastPiece {
-		return flow{}, piece
+	share := b.windowAllowance(l) / float64(vms)
+	if share < minSplitShare {
+		return bucketParams{}, share
 	}
-	return flowOf(ownPart*piece, b.Window), (1 - ownPart) * piece
+	return paramsFor(localFraction*share, b.Window), (1 - localFraction) * share
 }
 
-// bucket is a token bucket. The zero value is empty and was never filled.
+// bucket is a token bucket. The zero value is empty and was never refilled.
 type bucket struct {
-	level  float64
-	filled time.Time
+	tokens     float64
+	lastRefill time.Time
 }
 
-// fill adds what came since the last call. A bucket that was never filled stays
+// refill adds the tokens since the last refill. A bucket that was never refilled stays
 // empty.
-func (b *bucket) fill(f flow, now time.Time) {
-	if !b.filled.IsZero() && now.After(b.filled) {
-		b.level += f.rate * now.Sub(b.filled).Seconds()
+func (b *bucket) refill(params bucketParams, now time.Time) {
+	if !b.lastRefill.IsZero() && now.After(b.lastRefill) {
+		b.tokens += params.rate * now.Sub(b.lastRefill).Seconds()
 	}
-	b.level = min(b.level, f.capacity)
-	b.filled = now
+	b.tokens = min(b.tokens, params.capacity)
+	b.lastRefill = now
 }
 
-// take takes tokens, as many whole ones as there are, up to a number.
-func (b *bucket) take(most int) int {
-	n := min(int(b.level), most)
-	b.level -= float64(n)
+// takeTokens takes as many whole tokens as there are, up to maxTokens.
+func (b *bucket) takeTokens(maxTokens int) int {
+	n := min(int(b.tokens), maxTokens)
+	b.tokens -= float64(n)
 	return n
 }
--- a/coordination/ratelimit/ratelimit_test.go
+++ b/coordination/ratelimit/ratelimit_test.go
@@ -15,55 +15,55 @@
 	"github.com/ryehill/ryehill/state/workspace"
 )
 
-// bounds are those of the operators.
+// bounds are used by all tests.
 var bounds = ratelimit.Bounds{Window: 5 * time.Second, Overage: 0.1, Slack: 20}
 
-// most is what may run in a window by the operators' word.
-func most(l workspace.Limit) float64 {
+// maxInWindow returns how many requests may run in a window.
+func maxInWindow(l workspace.Limit) float64 {
 	return (l.Rate*bounds.Window.Seconds()+l.Burst)*(1+bounds.Overage) + bounds.Slack
 }
 
 const step = 10 * time.Millisecond
 
-// vm is a VM of the played fleet. Its clock runs at a rate of its own.
+// vm is a simulated VM. Its clock runs at its own rate.
 type vm struct {
-	f       *fleet
-	name    string
-	region  int
-	rate    float64
-	started time.Duration // in the fleet's time
-	number  uint64
-	own     *ratelimit.Own
-	pool    *ratelimit.Pool
-	lender  *ratelimit.Lender
-	frozen  time.Duration // until then
-	down    time.Duration
-	// group is the part of the fleet that it reaches.
-	group int
-	lent  time.Duration // when it renewed its loan
+	f            *fleet
+	name         string
+	region       int
+	rate         float64
+	started      time.Duration // in fleet time
+	processStart uint64
+	own          *ratelimit.Own
+	pool         *ratelimit.Pool
+	lender       *ratelimit.Lender
+	frozen       time.Duration // frozen until this fleet time
+	down         time.Duration
+	// group is the partition that the VM is in.
+	group       int
+	loanRenewed time.Duration // time of the last loan renewal
 }
 
-// fleet plays VMs that share the allowance of a workspace.
+// fleet simulates VMs that share the allowance of a workspace.
 type fleet struct {
 	now    time.Duration
 	vms    []*vm
 	listed int
 	limit  workspace.Limit
-	// ran holds the moments at which requests ran.
+	// ran holds the times at which requests ran.
 	ran []time.Duration
-	// late are messages that are under way.
-	late []message
-	// asked and served count requests by whether they came in calm.
+	// inFlight are messages that are not delivered yet.
+	inFlight []message
+	// asked and served count requests.
 	asked, served int
 }
 
-// message is a loan that is under way.
+// message is a loan message in transit.
 type message struct {
-	at     time.Duration
-	to     *vm
-	number uint64
-	loan   ratelimit.Loan
-	until  time.Duration
+	at           time.Duration
+	to           *vm
+	processStart uint64
+	loan         ratelimit.Loan
+	until        time.Duration
 }
 
 var epoch = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
@@ -73,7 +73,7 @@
 }
 
 func (v *vm) start() {
-	v.started, v.number = v.f.now, v.number+1
+	v.started, v.processStart = v.f.now, v.processStart+1
 	v.pool = ratelimit.NewPool(bounds, v.clock)
 	v.lender = ratelimit.NewLender(v.clock)
 	v.own = ratelimit.NewOwn(ratelimit.Config{Bounds: bounds, VMs: func() int { return v.f.listed }, Now: v.clock})
@@ -91,9 +91,8 @@
 
 func (v *vm) up() bool { return v.f.now >= v.frozen && v.f.now >= v.down }
 
-// chosen returns the VM that a VM takes for its pool: the first one of its region
-// that it reaches.
-func (f *fleet) chosen(v *vm) *vm {
+// poolOf returns the VM that a VM uses as its pool: the first reachable one of its region.
+func (f *fleet) poolOf(v *vm) *vm {
 	for _, p := range f.vms {
 		if p.region == v.region && p.group == v.group && f.now >= p.down {
 			return p
@@ -102,26 +101,26 @@
 	return v
 }
 
-// lend renews the loan of a VM; the message may be some time on its way.
-func (f *fleet) lend(v *vm, delay time.Duration) {
-	v.lent = f.now
-	p := f.chosen(v)
+// renewLoan renews the loan of a VM; delay is the transit time of the message.
+func (f *fleet) renewLoan(v *vm, delay time.Duration) {
+	v.loanRenewed = f.now
+	p := f.poolOf(v)
 	if start, until, ok := v.lender.Offer(p.name); ok {
-		f.late = append(f.late, message{
-			at: f.now + delay, to: p, number: start, until: until, loan: ratelimit.Loan{VM: v.name, VMs: f.listed},
+		f.inFlight = append(f.inFlight, message{
+			at: f.now + delay, to: p, processStart: start, until: until, loan: ratelimit.Loan{VM: v.name, VMs: f.listed},
 		})
 	}
 	if p.up() {
-		v.lender.Answered(p.name, p.number, p.clock().Sub(epoch))
+		v.lender.Answered(p.name, p.processStart, p.clock().Sub(epoch))
 	}
 }
 
 func (f *fleet) deliver() {
-	f.late = slices.DeleteFunc(f.late, func(m message) bool {
-		if m.at > f.now || !m.to.up() && m.to.number == m.number {
+	f.inFlight = slices.DeleteFunc(f.inFlight, func(m message) bool {
+		if m.at > f.now || !m.to.up() && m.to.processStart == m.processStart {
 			return false
 		}
-		if m.to.number == m.number {
+		if m.to.processStart == m.processStart {
 			m.loan.Until = epoch.Add(m.until)
 			m.to.pool.Lend(m.loan)
 		}
@@ -129,43 +128,44 @@
 	})
 }
 
-// ask is one request at a VM.
-func (f *fleet) ask(v *vm) {
+// request sends one request to a VM.
+func (f *fleet) request(v *vm) {
 	f.asked++
 	if v.own.Take("w", f.limit) {
-		f.run()
+		f.recordRun()
 		return
 	}
-	if p := f.chosen(v); p.up() && p.pool.Take("w", f.limit, 1).Requests == 1 {
-		f.run()
+	if p := f.poolOf(v); p.up() && p.pool.Take("w", f.limit, 1).Requests == 1 {
+		f.recordRun()
 	}
 }
 
-func (f *fleet) run() {
+func (f *fleet) recordRun() {
 	f.served++
 	f.ran = append(f.ran, f.now)
 }
 
-// play advances the fleet; requests gives how many come to a VM at a step.
-func (f *fleet) play(span time.Duration, requests func(v *vm) int) {
+// simulate advances the simulation; requests returns how many requests arrive at a VM in a
+// step.
+func (f *fleet) simulate(span time.Duration, requests func(v *vm) int) {
 	for end := f.now + span; f.now < end; f.now += step {
 		f.deliver()
 		for i, v := range f.vms {
 			if !v.up() {
 				continue
 			}
-			if f.now-v.lent >= ratelimit.LoanFor/3 {
-				f.lend(v, time.Duration(i%3)*step)
+			if f.now-v.loanRenewed >= ratelimit.LoanFor/3 {
+				f.renewLoan(v, time.Duration(i%3)*step)
 			}
 			for range requests(v) {
-				f.ask(v)
+				f.request(v)
 			}
 		}
 	}
 }
 
-// worst returns the most that ran in any window.
-func (f *fleet) worst() int {
+// busiestWindow returns the largest number of requests that ran in any window.
+func (f *fleet) busiestWindow() int {
 	worst, first := 0, 0
 	for last, at := range f.ran {
 		for at-f.ran[first] >= bounds.Window {
@@ -176,9 +176,8 @@
 	return worst
 }
 
-// Whatever is cut, frozen, restarted or changed, no window passes the operators'
-// bound, also if callers ask for far more than the limit all the time.
-func TestNoWindowPassesTheLimit(t *testing.T) {
+// Guards against exceeding the bound of a window under faults and permanent overload.
+func TestNoWindowExceedsTheLimit(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		size := rapid.IntRange(1, 40).Draw(t, "vms")
 		rate := float64(rapid.SampledFrom([]int{1, 3, 12, 40, 150}).Draw(t, "rate"))
@@ -207,17 +206,16 @@
 					v.group = 0
 				}
 			}
-			f.play(span, flood)
+			f.simulate(span, flood)
 		}
-		if worst, most := f.worst(), most(f.limit); float64(worst) > most {
-			t.Fatalf("%d ran in a window, at most %.1f may", worst, most)
+		if worst, allowed := f.busiestWindow(), maxInWindow(f.limit); float64(worst) > allowed {
+			t.Fatalf("%d requests ran in a window, want at most %.1f", worst, allowed)
 		}
 	})
 }
 
-// VMs that start again and again add nothing to what their earlier lives let run, and
-// a pool that changes again and again nothing to what was lent.
-func TestRestartsAndNewPoolsAddNothing(t *testing.T) {
+// Guards against restarts and changes of the pool adding tokens.
+func TestRestartsAndNewPoolsAddNoTokens(t *testing.T) {
 	cases := map[string]func(f *fleet, turn int){
 		"restarts": func(f *fleet, _ int) {
 			for _, v := range f.vms {
@@ -230,42 +228,42 @@
 			}
 		},
 	}
-	for name, strike := range cases {
+	for name, inject := range cases {
 		t.Run(name, func(t *testing.T) {
 			for _, rate := range []float64{12, 150} {
 				f := newFleet(20, workspace.Limit{Rate: rate, Burst: rate}, func(int) float64 { return 1 })
 				flood := func(*vm) int { return 2 }
-				f.play(6*time.Second, flood)
+				f.simulate(6*time.Second, flood)
 				for turn := range 30 {
-					strike(f, turn)
-					f.play(400*time.Millisecond, flood)
+					inject(f, turn)
+					f.simulate(400*time.Millisecond, flood)
 				}
-				if worst, most := f.worst(), most(f.limit); float64(worst) > most {
-					t.Errorf("limit %.0f: %d ran in a window, at most %.1f may", rate, worst, most)
+				if worst, allowed := f.busiestWindow(), maxInWindow(f.limit); float64(worst) > allowed {
+					t.Errorf("limit %.0f: %d requests ran in a window, want at most %.1f", rate, worst, allowed)
 				}
 			}
 		})
 	}
 }
 
-// A limit that falls binds a window later; until then the old one does.
-func TestFallingLimitBinds(t *testing.T) {
+// Guards against the old limit applying for longer than a window after it was lowered.
+func TestLoweredLimitApplies(t *testing.T) {
 	for size := range 30 {
 		f := newFleet(size+1, workspace.Limit{Rate: 100, Burst: 100}, func(int) float64 { return 1 })
 		flood := func(*vm) int { return 2 }
-		f.play(7*time.Second, flood)
+		f.simulate(7*time.Second, flood)
 		f.limit = workspace.Limit{Rate: 20, Burst: 20}
-		f.play(time.Second, flood)
+		f.simulate(time.Second, flood)
 		f.ran = nil
-		f.play(12*time.Second, flood)
-		if worst, most := f.worst(), most(f.limit); float64(worst) > most {
-			t.Errorf("%d VMs: %d ran in a window, at most %.1f may", size+1, worst, most)
+		f.simulate(12*time.Second, flood)
+		if worst, allowed := f.busiestWindow(), maxInWindow(f.limit); float64(worst) > allowed {
+			t.Errorf("%d VMs: %d requests ran in a window, want at most %.1f", size+1, worst, allowed)
 		}
 	}
 }
 
-// calmLoad is a load of two fifths of the limit that comes to VMs by chance.
-func calmLoad(seed uint64, limit workspace.Limit, vms int) func(*vm) int {
+// moderateLoad returns a random load of two fifths of the limit.
+func moderateLoad(seed uint64, limit workspace.Limit, vms int) func(*vm) int {
 	perStep := 0.4 * limit.Rate / float64(vms) * step.Seconds()
 	state := seed*2654435761 + 1
 	return func(*vm) int {
@@ -279,50 +277,49 @@
 	}
 }
 
-// Workspaces that ask for less than their limits are served: in calm, and while the
-// VMs of one hall of six are lost, the pool of its region among them.
+// Guards against refusing workspaces below their limits, also while one hall of six is
+// down.
 func TestWorkspacesUnderTheirLimitsAreServed(t *testing.T) {
 	const vms = 74
 	for name, rate := range map[string]float64{"small": 12, "middle": 40, "large": 366} {
 		t.Run(name, func(t *testing.T) {
 			limit := workspace.Limit{Rate: rate, Burst: rate}
-			var calm, lost played
+			var calm, lost tally
 			for seed := range uint64(8) {
 				f := newFleet(vms, limit, func(int) float64 { return 1 })
-				f.play(10*time.Second, func(*vm) int { return 0 })
-				load := calmLoad(seed, limit, vms)
-				f.play(20*time.Second, load)
-				calm.take(f)
+				f.simulate(10*time.Second, func(*vm) int { return 0 })
+				load := moderateLoad(seed, limit, vms)
+				f.simulate(20*time.Second, load)
+				calm.add(f)
 				for i, v := range f.vms {
 					if i%6 == 0 {
 						v.down = f.now + time.Minute
 					}
 				}
-				f.play(15*time.Second, load)
-				lost.take(f)
+				f.simulate(15*time.Second, load)
+				lost.add(f)
 			}
-			if calm.part() < 0.995 || lost.part() < 0.97 {
-				t.Errorf("%.4f of the requests pass in calm, want 0.995; %.4f while a hall is lost, want 0.97", calm.part(), lost.part())
+			if calm.fraction() < 0.995 || lost.fraction() < 0.97 {
+				t.Errorf("%.4f of the requests pass without faults, want 0.995; %.4f while a hall is down, want 0.97", calm.fraction(), lost.fraction())
 			}
-			t.Logf("calm %.4f, loss of a hall %.4f", calm.part(), lost.part())
+			t.Logf("without faults %.4f, with a hall down %.4f", calm.fraction(), lost.fraction())
 		})
 	}
 }
 
-// played sums requests.
-type played struct{ asked, served int }
+// tally sums up requests.
+type tally struct{ asked, served int }
 
-// take takes the requests that a fleet has counted.
-func (p *played) take(f *fleet) {
+// add adds the requests that a fleet has counted, and resets its counters.
+func (p *tally) add(f *fleet) {
 	p.asked, p.served = p.asked+f.asked, p.served+f.served
 	f.asked, f.served = 0, 0
 }
 
-func (p *played) part() float64 { return float64(p.served) / float64(p.asked) }
+func (p *tally) fraction() float64 { return float64(p.served) / float64(p.asked) }
 
-// VMs that are cut off from all others go on with their parts: the smaller these are, the
-// longer it takes until a part that was lent bears a request again.
-func TestVMsThatAreAloneServe(t *testing.T) {
+// Guards against isolated VMs refusing all requests: they serve from their own shares.
+func TestIsolatedVMsServe(t *testing.T) {
 	const vms = 74
 	for name, c := range map[string]struct{ rate, least float64 }{
 		"small": {rate: 20, least: 0.3}, "middle": {rate: 50, least: 0.5}, "large": {rate: 366, least: 0.99},
@@ -330,38 +327,37 @@
 		t.Run(name, func(t *testing.T) {
 			limit := workspace.Limit{Rate: c.rate, Burst: c.rate}
 			f := newFleet(vms, limit, func(int) float64 { return 1 })
-			f.play(10*time.Second, func(*vm) int { return 0 })
+			f.simulate(10*time.Second, func(*vm) int { return 0 })
 			for i, v := range f.vms {
 				v.group = i
 			}
-			f.play(12*time.Second, calmLoad(uint64(c.rate), limit, vms))
-			part := float64(f.served) / float64(f.asked)
-			t.Logf("%.4f pass", part)
-			if part < c.least {
-				t.Errorf("%.4f of the requests pass, want %.2f", part, c.least)
+			f.simulate(12*time.Second, moderateLoad(uint64(c.rate), limit, vms))
+			fraction := float64(f.served) / float64(f.asked)
+			t.Logf("%.4f pass", fraction)
+			if fraction < c.least {
+				t.Errorf("%.4f of the requests pass, want %.2f", fraction, c.least)
 			}
 		})
 	}
 }
 
-// A workspace that floods all VMs gets most of what it may, and no more.
-func TestFloodGetsTheLimit(t *testing.T) {
+// Guards against an overloading workspace getting much less than its limit, or more.
+func TestOverloadGetsTheLimit(t *testing.T) {
 	const vms, span = 74, 20 * time.Second
 	for name, rate := range map[string]float64{"small": 12, "middle": 60, "large": 366} {
 		t.Run(name, func(t *testing.T) {
 			limit := workspace.Limit{Rate: rate, Burst: rate}
 			f := newFleet(vms, limit, func(int) float64 { return 1 })
-			f.play(span, func(*vm) int { return 1 })
+			f.simulate(span, func(*vm) int { return 1 })
 			least := 0.8 * rate * span.Seconds()
-			if float64(f.served) < least || float64(f.worst()) > most(limit) {
-				t.Errorf("%d ran, want %.0f at least; %d in the worst window, at most %.0f may", f.served, least, f.worst(), most(limit))
+			if float64(f.served) < least || float64(f.busiestWindow()) > maxInWindow(limit) {
+				t.Errorf("%d requests ran, want at least %.0f; %d in the busiest window, want at most %.0f", f.served, least, f.busiestWindow(), maxInWindow(limit))
 			}
 		})
 	}
 }
 
-// Requests that are refused together are told moments at the pace at which they may
-// run, so that those which come back once are served.
+// Guards against telling requests that are refused together the same retry time.
 func TestRefusedRequestsComeBackInTurn(t *testing.T) {
 	const refused = 40
 	limit := workspace.Limit{Rate: 40, Burst: 40}
@@ -372,20 +368,20 @@
 			pool.Lend(ratelimit.Loan{VM: fmt.Sprint(i), VMs: 10, Until: now.Add(time.Hour)})
 		}
 	}
-	lend() // The parts are empty still.
-	var back []time.Time
+	lend() // The buckets are still empty.
+	var retries []time.Time
 	for range refused {
 		g := pool.Take("w", limit, 1)
 		if g.Requests != 0 {
 			t.Fatal("an empty pool grants a request")
 		}
-		back = append(back, now.Add(g.Wait))
+		retries = append(retries, now.Add(g.Wait))
 	}
-	if last := back[refused-1].Sub(epoch); last < time.Second || last > 4*time.Second {
-		t.Errorf("the last of %d is to come back after %s, want about what they take together", refused, last)
+	if last := retries[refused-1].Sub(epoch); last < time.Second || last > 4*time.Second {
+		t.Errorf("the last of %d is to be retried after %s, want 1 s to 4 s", refused, last)
 	}
 	served := 0
-	for _, at := range back {
+	for _, at := range retries {
 		for now.Before(at) {
 			now = now.Add(min(at.Sub(now), 100*time.Millisecond))
 			lend()
@@ -393,11 +389,11 @@
 		served += pool.Take("w", limit, 1).Requests
 	}
 	if served < refused*9/10 {
-		t.Errorf("%d of %d are served when they come back, want nine in ten", served, refused)
+		t.Errorf("%d of %d retries are served, want nine in ten", served, refused)
 	}
 	for range 10_000 {
 		if g := pool.Take("w", limit, 1); g.Wait > bounds.Window {
-			t.Fatalf("a request is told to come back after %s", g.Wait)
+			t.Fatalf("retry delay %s exceeds the window", g.Wait)
 		}
 	}
 }
--- a/coordination/retry/retry.go
+++ b/coordination/retry/retry.go
@@ -1,20 +1,20 @@
 // Copyright 2026 The ryehill Authors
 // SPDX-License-Identifier: Apache-2.0
 
-// Package retry decides, in one place, whether a request is tried once more.
+// Package retry decides whether a failed request is attempted again.
 //
-// Retries, spills to another VM and returns home are all another try and all
-// come here. Two rules bind: a request is tried again only if it is certain
-// that no upstream has begun to run it, or if it may be repeated; and the tries
-// after the first stay within a budget, a ratio of first tries, so that they
-// cannot multiply an overload.
+// Retries, spills to another VM and fallbacks to the request's own hall are all further
+// attempts and are all decided here. Two rules apply: a request is attempted again only if
+// it is certain that no upstream has started to run it, or if it is idempotent; and the
+// attempts after the first stay within a budget, a ratio of first attempts, so that
+// retries cannot multiply an overload.
 //
 // # Usage
 //
 //	budget := retry.New(retry.Config{})
-//	budget.First()
-//	verdict := budget.Decide(retry.Try{Number: 1, Cause: retry.CauseShed, NotRun: true})
-//	if verdict.Again() { /* try once more */ }
+//	budget.RecordFirst()
+//	decision := budget.Decide(retry.Attempt{Number: 1, Cause: retry.CauseShed, NotRun: true})
+//	if decision.Allowed() { /* attempt it again */ }
 package retry
 
 import (
@@ -24,24 +24,24 @@
 	"github.com/ryehill/ryehill/state/share"
 )
 
-// Cause says why a try ended without an answer.
+// Cause is the reason why an attempt ended without an answer.
 type Cause string
 
-// Causes of a failed try.
+// Causes of a failed attempt.
 const (
 	CauseShed        Cause = "shed"
 	CauseLeaving     Cause = "leaving"
 	CauseUnreachable Cause = "unreachable"
 	CauseRefused     Cause = "refused"
 	CauseBroken      Cause = "broken"
-	// CauseFull means that this VM itself found no room in time.
+	// CauseFull means that this VM had no free slot in time.
 	CauseFull Cause = "full"
 )
 
-// Verdict is the answer to a question for another try.
+// Verdict is the decision on another attempt, with the reason if it is refused.
 type Verdict string
 
-// Verdicts. Only VerdictAgain allows another try.
+// Decisions. Only DecisionRetry allows another attempt.
 const (
 	VerdictAgain      Verdict = "again"
 	VerdictMayHaveRun Verdict = "may-have-run"
@@ -53,64 +53,63 @@
 	VerdictSuspect    Verdict = "suspect"
 )
 
-// Again reports whether another try is allowed.
-func (v Verdict) Again() bool { return v == VerdictAgain }
+// Again reports whether another attempt is allowed.
+func (d Verdict) Again() bool { return d == VerdictAgain }
 
-// Try describes a try that failed.
+// Try describes a failed attempt.
 type Try struct {
-	// Number counts tries of this request, from 1.
+	// Number is the number of the attempt of this request, from 1.
 	Number int
-	// MaxTries bounds the tries of this request; 0 is the budget's bound.
+	// MaxTries bounds the attempts of this request; 0 means the bound of the budget.
 	MaxTries int
 	Cause    Cause
-	// Unsent is set if no byte of the request reached any upstream. Such a
-	// try loads nothing, so the next one costs no budget.
+	// Unsent is set if no byte of the request reached an upstream. Such an attempt causes
+	// no load, so the next one costs no budget.
 	Unsent bool
-	// NotRun is set if it is certain that no upstream began to run it.
+	// NotRun is set if it is certain that no upstream started to run the request.
 	NotRun bool
-	// Repeatable is set if running it twice does no harm.
+	// Repeatable is set if running the request twice does no harm.
 	Repeatable bool
-	// BodyGone is set if part of the body was sent and cannot be had again.
+	// BodyGone is set if part of the body was sent and cannot be read again.
 	BodyGone bool
 	// Expired is set if the request's deadline has passed.
 	Expired bool
-	// Home is set if the next try is the one at the request's own hall after
-	// another hall refused; it costs no budget as it sends nothing twice.
+	// Home is set if the next attempt is at the request's own hall after another hall
+	// refused it. It costs no budget, as it sends nothing twice.
 	Home bool
-	// Suspect is set if the request may be why its upstream ended.
+	// Suspect is set if the request may have crashed its upstream.
 	Suspect bool
-	// Final is set if the same try would only fail again: no room was found
-	// in the time that a request may wait.
+	// Final is set if another attempt would fail for the same reason: no free slot was
+	// found in the time that the request may wait.
 	Final bool
 }
 
-// maxUnsent bounds the tries of a request that reach no upstream.
+// maxUnsent bounds the attempts of a request that reach no upstream.
 const maxUnsent = 4
 
-// Config sets up a Budget. The zero value is useful.
+// Config configures a Budget. The zero value is valid.
 type Config struct {
-	// Ratio is how many tries after the first are allowed for each first
-	// try. Default 10%.
+	// Ratio is the number of further attempts allowed per first attempt. Default 10%.
 	Ratio share.PPM
-	// Burst is how many may be spent after a quiet time. Default 10.
+	// Burst is the number of further attempts that may be saved up. Default 10.
 	Burst int
-	// MaxTries bounds the tries of one request. Default 3.
+	// MaxTries bounds the attempts of one request. Default 3.
 	MaxTries int
-	// Unlimited switches the budget off. It is the baseline of measurements.
+	// Unlimited disables the budget. It is a baseline for measurements.
 	Unlimited bool
 }
 
-// Budget counts first tries and spends a ratio of them on later ones.
-// It is safe for concurrent use.
+// Budget limits further attempts to a ratio of first attempts. It is safe for concurrent
+// use.
 type Budget struct {
 	cfg    Config
 	mu     sync.Mutex
 	credit uint64
 }
 
-// New returns a budget that begins with its burst.
+// New returns a Budget with a full burst.
 func New(cfg Config) *Budget {
-	const defaultRatio, defaultBurst, defaultTries = 10 * share.Percent, 10, 3
+	const defaultRatio, defaultBurst, defaultAttempts = 10 * share.Percent, 10, 3
 	if cfg.Ratio == 0 {
 		cfg.Ratio = defaultRatio
 	}
@@ -118,42 +117,43 @@
 		cfg.Burst = defaultBurst
 	}
 	if cfg.MaxTries <= 0 {
-		cfg.MaxTries = defaultTries
+		cfg.MaxTries = defaultAttempts
 	}
 	return &Budget{cfg: cfg, credit: uint64(cfg.Burst) * uint64(share.Whole)}
 }
 
-// First counts a first try.
+// First records a first attempt.
 func (b *Budget) First() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.credit = min(b.credit+uint64(b.cfg.Ratio), uint64(b.cfg.Burst)*uint64(share.Whole))
 }
 
-// Decide says whether a failed try may be followed by another.
-func (b *Budget) Decide(t Try) Verdict {
+// Decide decides whether a failed attempt may be followed by another, and charges the
+// budget if it is allowed and not free.
+func (b *Budget) Decide(a Try) Verdict {
 	switch {
-	case !t.NotRun && !t.Repeatable:
+	case !a.NotRun && !a.Repeatable:
 		return VerdictMayHaveRun
-	case t.BodyGone:
+	case a.BodyGone:
 		return VerdictBodyGone
-	case t.Expired:
+	case a.Expired:
 		return VerdictDeadline
-	case t.Suspect:
+	case a.Suspect:
 		return VerdictSuspect
-	case t.Final:
+	case a.Final:
 		return VerdictFinal
-	case t.Home, t.Unsent && t.Number < maxUnsent:
+	case a.Home, a.Unsent && a.Number < maxUnsent:
 		return VerdictAgain
-	case t.Number >= cmp.Or(t.MaxTries, b.cfg.MaxTries):
+	case a.Number >= cmp.Or(a.MaxTries, b.cfg.MaxTries):
 		return VerdictTries
-	case !b.spend():
+	case !b.spendCredit():
 		return VerdictBudget
 	}
 	return VerdictAgain
 }
 
-func (b *Budget) spend() bool {
+func (b *Budget) spendCredit() bool {
 	if b.cfg.Unlimited {
 		return true
 	}
--- a/coordination/retry/retry_test.go
+++ b/coordination/retry/retry_test.go
@@ -11,33 +11,33 @@
 	"github.com/ryehill/ryehill/coordination/retry"
 )
 
-func TestVerdicts(t *testing.T) {
+func TestDecisions(t *testing.T) {
 	cases := map[string]struct {
-		try  retry.Try
-		want retry.Verdict
+		attempt retry.Try
+		want    retry.Verdict
 	}{
-		"shed":                        {retry.Try{Number: 1, NotRun: true}, retry.VerdictAgain},
-		"broken, repeatable":          {retry.Try{Number: 1, Repeatable: true}, retry.VerdictAgain},
-		"broken, not repeatable":      {retry.Try{Number: 1}, retry.VerdictMayHaveRun},
-		"body sent":                   {retry.Try{Number: 1, NotRun: true, BodyGone: true}, retry.VerdictBodyGone},
-		"too late":                    {retry.Try{Number: 1, NotRun: true, Expired: true}, retry.VerdictDeadline},
-		"third try":                   {retry.Try{Number: 3, NotRun: true}, retry.VerdictTries},
-		"home after a refusal":        {retry.Try{Number: 3, NotRun: true, Home: true}, retry.VerdictAgain},
-		"home, but it may have run":   {retry.Try{Number: 1, Home: true}, retry.VerdictMayHaveRun},
-		"reached nobody":              {retry.Try{Number: 3, NotRun: true, Unsent: true}, retry.VerdictAgain},
-		"reached nobody four times":   {retry.Try{Number: 4, NotRun: true, Unsent: true}, retry.VerdictTries},
-		"no room here in all of time": {retry.Try{Number: 1, NotRun: true, Final: true}, retry.VerdictFinal},
+		"shed":                    {retry.Try{Number: 1, NotRun: true}, retry.VerdictAgain},
+		"broken, repeatable":      {retry.Try{Number: 1, Repeatable: true}, retry.VerdictAgain},
+		"broken, not repeatable":  {retry.Try{Number: 1}, retry.VerdictMayHaveRun},
+		"body sent":               {retry.Try{Number: 1, NotRun: true, BodyGone: true}, retry.VerdictBodyGone},
+		"deadline passed":         {retry.Try{Number: 1, NotRun: true, Expired: true}, retry.VerdictDeadline},
+		"third attempt":           {retry.Try{Number: 3, NotRun: true}, retry.VerdictTries},
+		"home after a refusal":    {retry.Try{Number: 3, NotRun: true, Home: true}, retry.VerdictAgain},
+		"home, may have run":      {retry.Try{Number: 1, Home: true}, retry.VerdictMayHaveRun},
+		"nothing sent":            {retry.Try{Number: 3, NotRun: true, Unsent: true}, retry.VerdictAgain},
+		"nothing sent four times": {retry.Try{Number: 4, NotRun: true, Unsent: true}, retry.VerdictTries},
+		"no free slot in time":    {retry.Try{Number: 1, NotRun: true, Final: true}, retry.VerdictFinal},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
-			if got := retry.New(retry.Config{}).Decide(c.try); got != c.want {
+			if got := retry.New(retry.Config{}).Decide(c.attempt); got != c.want {
 				t.Fatalf("got %s, want %s", got, c.want)
 			}
 		})
 	}
 }
 
-// However requests fail, tries after the first stay within the budget.
+// Guards against retries beyond the budget.
 func TestRetriesStayWithinTheBudget(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const burst = 10
@@ -52,7 +52,7 @@
 				again++
 			}
 			if again > first/10+burst {
-				t.Fatalf("%d retries for %d first tries", again, first)
+				t.Fatalf("%d retries for %d first attempts", again, first)
 			}
 		}
 	})
--- a/scripts/switch-off.sh
+++ b/scripts/switch-off.sh
@@ -54,31 +54,31 @@
 off outliers-together internal/gateway/outliers.go 'if len(told) == 0 || len(told) > maxOutcomes {' 'if true {' ./internal/gateway TestVMsSpareAFailingWorkerTogether
 off most-spared coordination/placement/eligible.go 'if float64(len(spared)) > mostSpared' 'if false && float64(len(spared)) > mostSpared' ./coordination/placement TestSparedWorkers
 off time-over-is-no-failure transport/ingress/try.go 'return errors.Is(err, context.DeadlineExceeded) ||' 'return false && errors.Is(err, context.DeadlineExceeded) &&' ./transport/ingress TestOutcomesOfWorkers
-off soak-once coordination/retry/retry.go 'case !t.NotRun && !t.Repeatable:' 'case false:' ./platform 'TestSoak$'
+off soak-once coordination/retry/retry.go 'case !a.NotRun && !a.Repeatable:' 'case false:' ./platform 'TestSoak$'
 off soak-drain state/worker/standing.go 'ok && !leaving.Open(now) {' 'ok && false && !leaving.Open(now) {' ./platform 'TestSoak$'
 off soak-closed coordination/placement/handover.go '!closing.Open(now) {' 'false && !closing.Open(now) {' ./platform 'TestSoak$'
 off soak-stop internal/gateway/stop.go 'if err := g.front.Shutdown(ctx); err != nil {' 'if err := g.front.Close(); err != nil {' ./platform 'TestSoak$'
-off holders-stay coordination/balance/balance.go 'if ok && held.worker.Region == l.worker.Region {' 'if ok {' ./coordination/balance TestKeysStayInTheirRegion
+off holders-stay coordination/balance/balance.go 'if ok && holder.worker.Region == l.worker.Region {' 'if ok {' ./coordination/balance TestKeysStayInTheirRegion
 off holders-table coordination/placement/placement.go 'if !r.Keyed {
 		return list' 'if true {
 		return list' ./coordination/placement TestTableOfHolders
-off holders-kept coordination/balance/balance.go 's.keep(b.held, change)' '' ./coordination/balance TestKeysStayWhenAWorkerJoins
+off holders-kept coordination/balance/balance.go 's.retainHolders(b.lastHolders, change)' '' ./coordination/balance TestKeysStayWhenAWorkerJoins
 off holders-gaps state/holders/holders.go 'd.Since > current.version ||' '' ./state/holders 'TestGapsAreNotMerged|TestFollowersConverge'
 off holders-spread internal/gateway/teller.go 'g.balancer.table.Merge(fromBalanced(answer.GetBalanced()))' '' ./internal/gateway TestVMsFollowOneTable
 off loads-shared internal/gateway/teller.go 'g.passOnLoads(ask.GetLoads())' '' ./internal/gateway TestVMsShareTheLoadOfWorkers
 off losses-by-cause transport/ingress/losses.go 'case q.newKey:' 'case false:' ./transport/ingress TestLossesByCause
 off usable-slots coordination/capacity/pool.go 'if p.inUse >= usable || len(p.order) == 0 {' 'if len(p.order) == 0 {' ./coordination/capacity TestNeverMoreThanUsable
 off lending-headroom coordination/capacity/grant.go 'usable - headroom - p.inUse' 'usable - 0*headroom - p.inUse' ./coordination/capacity TestNeverMoreThanUsable
-off grant-lapse coordination/capacity/grant.go 'if !now.Before(g.lapses) {' 'if false && !now.Before(g.lapses) {' ./coordination/capacity TestGrantLapses
-off holder-looks-at-clock coordination/capacity/holder.go 'if g.inUse < g.Slots && now.Before(g.Ends) &&' 'if g.inUse < g.Slots && now.Before(now.Add(1)) &&' ./coordination/capacity TestGrantLapses
-off own-callers-first coordination/capacity/pool.go 'if p.inUse >= usable || len' 'if p.inUse+p.lent() >= usable || len' ./coordination/capacity TestIdleLentSlots
+off grant-lapse coordination/capacity/grant.go 'if !now.Before(g.expiresAt) {' 'if false && !now.Before(g.expiresAt) {' ./coordination/capacity TestGrantExpires
+off holder-looks-at-clock coordination/capacity/holder.go 'if g.inUse < g.Slots && now.Before(g.Ends) &&' 'if g.inUse < g.Slots && now.Before(now.Add(1)) &&' ./coordination/capacity TestGrantExpires
+off own-callers-first coordination/capacity/pool.go 'if p.inUse >= usable || len' 'if p.inUse+p.lentUnused() >= usable || len' ./coordination/capacity TestIdleLentSlots
 off late-answer transport/upstream/exchange.go 'if x.client.cfg.Dialect.Belongs(x.req, res) {' 'if true || late < 0 {' ./transport/upstream TestLateAnswerIsPassedOver
 off nameless-answer transport/upstream/exchange.go 'keep := !nameless && ' 'keep := (nameless || !nameless) && ' ./transport/upstream TestAnotherWorkerHasTheAddress
 off announced-keep-alive transport/upstream/conn.go 'c.idleFor = min(c.idleFor, limit-limit/margin)' '_ = limit' ./transport/upstream TestAnnouncedKeepAliveIsHeeded
 off once-not-again transport/ingress/try.go 'Repeatable: q.route.Repeatable, BodyGone' 'Repeatable: true, BodyGone' ./transport/ingress TestSendingAgain
 off answer-not-whole transport/ingress/answer.go 'panic(http.ErrAbortHandler)' 'return' ./transport/ingress TestBrokenAnswerDoesNotLookWhole
 off stopping-waits-on transport/ingress/try.go 'if q.handler.stopping.Load() {' 'if false && q.handler.stopping.Load() {' ./transport/ingress TestTimes
-off unsent-is-free coordination/retry/retry.go 'case t.Home, t.Unsent && t.Number < maxUnsent:' 'case t.Home:' ./transport/ingress TestUnreachableWorkersCostNoTry
+off unsent-is-free coordination/retry/retry.go 'case a.Home, a.Unsent && a.Number < maxUnsent:' 'case a.Home:' ./transport/ingress TestUnreachableWorkersCostNoTry
 off cold-owner coordination/placement/cold.go 'if len(owner) == 0 || owner[0] != c.cfg.VM {' 'if len(owner) == 0 {' ./coordination/placement TestColdRateOfAllVMs
 off cold-isolated coordination/placement/cold.go 'if 2*len(live) < listed {' 'if false && 2*len(live) < listed {' ./coordination/placement 'TestColdRateOfAllVMs|TestColdRateOfManyThatAreAlone'
 off closed-halls coordination/placement/handover.go '|| s.Closed[w.Hall] && !s.Closing[w.Hall].Open(now)' '' ./coordination/placement TestWhoGetsNothing
@@ -96,9 +96,9 @@
 off workspace-homes transport/ingress/identify.go '(q.workspace == nil || q.workspace.AllowsRegion(region))' 'true' ./transport/ingress TestHomesOfWorkspacesBind
 off strict-revocation internal/gateway/keys.go 'return !g.cfg.Bounds.StrictRevocation ||' 'return true ||' ./internal/gateway TestStrictRevocation
 off strangers-are-bounded internal/gateway/keys.go 'if now.Sub(k.last) < keyQuestionInterval {' 'if false {' ./internal/gateway TestStrangersAreNoLever
-off quota-loans-end coordination/ratelimit/pool.go 'if !l.Until.After(now) && (first.VM' 'if false && (first.VM' ./coordination/ratelimit TestNoWindowPassesTheLimit
-off quota-one-pool coordination/ratelimit/lender.go 'if pool != l.pool && now.Before(l.until) {' 'if false {' ./coordination/ratelimit TestRestartsAndNewPoolsAddNothing
-off quota-starts-empty coordination/ratelimit/own.go 'b := &bucket{filled: s.began}' 'b := &bucket{filled: s.began, level: 1e9}' ./coordination/ratelimit TestRestartsAndNewPoolsAddNothing
+off quota-loans-end coordination/ratelimit/pool.go 'if !l.Until.After(now) && (first.VM' 'if false && (first.VM' ./coordination/ratelimit TestNoWindowExceedsTheLimit
+off quota-one-pool coordination/ratelimit/lender.go 'if pool != l.pool && now.Before(l.until) {' 'if false {' ./coordination/ratelimit TestRestartsAndNewPoolsAddNoTokens
+off quota-starts-empty coordination/ratelimit/own.go 'b := &bucket{lastRefill: s.createdAt}' 'b := &bucket{lastRefill: s.createdAt, tokens: 1e9}' ./coordination/ratelimit TestRestartsAndNewPoolsAddNoTokens
 off bound-slots coordination/placement/share.go 'if r.unbound(regions) {' 'if false {' ./coordination/placement TestBoundRequestsLeaveOthersLess
 off quota-turns coordination/ratelimit/pool.go 'b.promised = b.promised.Add(time.Duration(float64(time.Second) / f.rate))' '_ = f' ./coordination/ratelimit TestRefusedRequestsComeBackInTurn
 off answer-time-is-not-held internal/gateway/teller.go 'answer.HeldMillis = uint32(held.Milliseconds())' 'answer.HeldMillis = uint32(time.Since(asked).Milliseconds())' ./internal/gateway TestTimeSpentOnAnAnswer
@@ -137,10 +137,10 @@
 off attempt-table state/attempt/attempt.go 'if c, ok := s.records[ticket.nonce]; ok {' 'if c, ok := s.records[ticket.nonce]; ok && false {' ./state/attempt 'TestTicketRuns|TestOnlyOne'
 off start-number state/attempt/attempt.go 'if ticket.start != t.cfg.Start {' 'if false {' ./internal/program TestSessions/once
 off fresh-connection transport/upstream/exchange.go 'c.connect(ctx, w, req.Once)' 'c.connect(ctx, w, false)' ./transport/upstream TestOnceNever
-off no-retry-after-send coordination/retry/retry.go 'case !t.NotRun && !t.Repeatable:' 'case false:' ./internal/program TestSessions/once
+off no-retry-after-send coordination/retry/retry.go 'case !a.NotRun && !a.Repeatable:' 'case false:' ./internal/program TestSessions/once
 off used-ticket-at-the-door transport/relay/engine.go 'failure = e.refuseTicket(r, failure)' '' ./internal/program TestSessions/stop
 off leaving-sticky coordination/capacity/worker.go 'w.leaving = w.leaving || r.Leaving ||' 'w.leaving = r.Leaving ||' ./coordination/capacity TestLeavingIsSticky
-off leaving-told coordination/capacity/worker.go 'unsure := w.LeavingStart != 0 &&' 'unsure := false &&' ./coordination/capacity TestTakenOver
+off leaving-told coordination/capacity/worker.go 'maybeLeaving := w.LeavingStart != 0 &&' 'maybeLeaving := false &&' ./coordination/capacity TestTakenOver
 off stop-waits internal/daemon/stop.go 'for d.inFlight() > 0 {' 'for false {' ./internal/program TestSessions/stop
 off never-reverts coordination/spread/spread.go 'known.Version >= o.Version' 'known.Version > o.Version+1<<40' ./coordination/spread TestNeverReverts
 off peers-spread internal/daemon/spread.go 'if p.GetRevision() > revision ||' 'if p.GetRevision() > revision+1<<40 ||' ./internal/fleet TestConfigurationReaches
@@ -178,7 +178,7 @@
 off limit-tighter-first state/worker/ratelimit.go 'case held.Named() && r.PerS > held.PerS && !r.certain().After(held.Heard):' 'case false:' ./state/worker TestOvertakenLimits
 off limit-success-ends transport/ingress/signals.go 'case limit.Named() || status < http.StatusMultipleChoices:' 'default:' ./transport/ingress TestLimitsAreHeard
 off limit-spills-over coordination/placement/placement.go 'if refusal == RefusalLimited {' 'if false {' ./coordination/placement TestLimitsBind
-off limit-urgent-first coordination/ratelimit/issuer.go 'reserve := rankReserve * float64(' 'reserve := 0 * float64(' ./coordination/ratelimit TestIssuerServesUrgent
+off limit-urgent-first coordination/ratelimit/issuer.go 'reserve := priorityReserve * float64(' 'reserve := 0 * float64(' ./coordination/ratelimit TestIssuerServesUrgent
 off soak-limit internal/gateway/gateway.go 'Demand: g.balancer.meter, Permits: g.permits,' 'Demand: g.balancer.meter,' ./platform 'TestSoak$/seed_21004'
 off lapsed-tells-of-no-end coordination/placement/placement.go 'if !w.Confirmed.IsZero() {' 'if false {' ./internal/gateway TestLapsedEntryTells
 off ends-heeded-at-once state/worker/loads.go 'return confirmed.Before(started) ||' 'return' ./internal/gateway TestWorkerThatReturnsAs
