--- a/coordination/balance/balance.go
+++ b/coordination/balance/balance.go
@@ -108,8 +108,8 @@
 	}
 }
 
-// Decide moves keys from overloaded workers and removes moves to workers that are gone. It
-// returns the number of keys moved.
+// Decide moves keys from overloaded workers and removes moves to workers that are gone.
+// It returns the number of keys moved.
 func (b *Balancer) Decide(f Fleet) int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/coordination/balance/balance_test.go
+++ b/coordination/balance/balance_test.go
@@ -239,8 +239,8 @@
 	return busiest
 }
 
-// BenchmarkDecide measures a decision with the most keys and a large number of workers.
-func BenchmarkDecide(b *testing.B) {
+// BenchmarkRebalance measures a decision with the most keys and a large number of workers.
+func BenchmarkRebalance(b *testing.B) {
 	const workers = 1000
 	f := newFixture(workers)
 	for i := range uint64(holders.MaxEntries) {
--- a/coordination/balance/spread.go
+++ b/coordination/balance/spread.go
@@ -15,10 +15,11 @@
 	// overloadThreshold is the fraction of a worker's slots in use above which keys are
 	// moved away from it. Below, requests hardly wait, and a move has only costs.
 	overloadThreshold = 0.75
-	// minGain is the least difference in utilization by which the source of a key, before
-	// the move, must exceed the target after the move.
+	// minGain is how much the utilization of the source before a move must exceed that of
+	// the target after it.
 	minGain = 0.05
-	// maxMovedFraction bounds the fraction of a service's keys moved in one decision.
+	// maxMovedFraction bounds the fraction of a service's keys that one decision moves away
+	// from overloaded workers.
 	maxMovedFraction = 0.05
 )
 
--- a/coordination/capacity/holder.go
+++ b/coordination/capacity/holder.go
@@ -32,8 +32,8 @@
 	Ends time.Time
 }
 
-// Holder tracks the grants that one VM holds, and how many slots it needs. It is safe for
-// concurrent use.
+// Holder tracks the grants that one VM holds, and how many slots it needs. It is safe
+// for concurrent use.
 type Holder struct {
 	now     func() time.Time
 	mu      sync.Mutex
@@ -117,8 +117,8 @@
 	}
 }
 
-// Want returns how many slots to request at a renewal and starts a new period. It returns
-// 0 after several periods without demand.
+// Want returns how many slots to request at a renewal and starts a new period.
+// It returns 0 after several periods without demand.
 func (h *Holder) Want(s Source) int {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -170,7 +170,8 @@
 	return total
 }
 
-// Forget removes the sources that had no demand for several periods, except those in keep.
+// Forget removes the sources that had no demand for several periods, except those in
+// keep.
 func (h *Holder) Forget(keep map[Source]bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
--- a/coordination/outlier/outlier_test.go
+++ b/coordination/outlier/outlier_test.go
@@ -17,13 +17,13 @@
 
 // simulate sends a worker requests of which a fraction fails, except while it is ejected.
 // It returns the fraction of requests that fell into an ejection.
-func simulate(judge *outlier.Judge, clock *clockwork.FakeClock, perSecond, seconds int, failing float64) float64 {
+func simulate(detector *outlier.Judge, clock *clockwork.FakeClock, perSecond, seconds int, failing float64) float64 {
 	random := rand.New(rand.NewPCG(1, 2))
 	ejected := 0
 	steps := perSecond * seconds
 	for range steps {
 		clock.Advance(time.Second / time.Duration(perSecond))
-		if judge.Spared()["w"] > 0 {
+		if detector.Spared()["w"] > 0 {
 			ejected++
 			continue
 		}
@@ -31,7 +31,7 @@
 		if random.Float64() < failing {
 			o = worker.Outcomes{Failed: 1}
 		}
-		judge.Add(map[string]worker.Outcomes{"w": o})
+		detector.Add(map[string]worker.Outcomes{"w": o})
 	}
 	return float64(ejected) / float64(steps)
 }
@@ -62,41 +62,41 @@
 
 func TestRecoveredWorkerIsUsedAgain(t *testing.T) {
 	clock := clockwork.NewFakeClock()
-	judge := outlier.New(outlier.Config{Now: clock.Now})
-	if simulate(judge, clock, 10, 10, 0.5) == 0 {
+	detector := outlier.New(outlier.Config{Now: clock.Now})
+	if simulate(detector, clock, 10, 10, 0.5) == 0 {
 		t.Fatal("the worker was not ejected while it failed")
 	}
 	clock.Advance(16 * time.Second)
-	if part := simulate(judge, clock, 10, 20, 0); part > 0 {
-		t.Errorf("ejected for %.2f of the time after it recovered", part)
+	if fraction := simulate(detector, clock, 10, 20, 0); fraction > 0 {
+		t.Errorf("ejected for %.2f of the time after it recovered", fraction)
 	}
 }
 
 // Guards against missing a failing worker of which each VM sees too few requests.
 func TestOutcomesOfVMsAreAggregated(t *testing.T) {
 	clock := clockwork.NewFakeClock()
-	judge := outlier.New(outlier.Config{Now: clock.Now})
+	detector := outlier.New(outlier.Config{Now: clock.Now})
 	for range 6 {
 		alone := outlier.New(outlier.Config{Now: clock.Now})
 		seen := map[string]worker.Outcomes{"w": {Answered: 1, Failed: 1}}
 		alone.Add(seen)
-		judge.Add(seen)
+		detector.Add(seen)
 		if len(alone.Spared()) > 0 {
 			t.Fatal("one failure of two exchanges ejects a worker")
 		}
 	}
-	if judge.Spared()["w"] == 0 {
+	if detector.Spared()["w"] == 0 {
 		t.Error("six failures of twelve exchanges do not eject a worker")
 	}
 }
 
 func TestTableIsBounded(t *testing.T) {
 	clock := clockwork.NewFakeClock()
-	judge := outlier.New(outlier.Config{Now: clock.Now})
+	detector := outlier.New(outlier.Config{Now: clock.Now})
 	for i := range 40_000 {
-		judge.Add(map[string]worker.Outcomes{fmt.Sprint(i): {Failed: 9}})
+		detector.Add(map[string]worker.Outcomes{fmt.Sprint(i): {Failed: 9}})
 	}
-	if n := len(judge.Spared()); n > 16384 {
+	if n := len(detector.Spared()); n > 16384 {
 		t.Errorf("%d workers are tracked", n)
 	}
 }
--- a/coordination/ratelimit/borrower.go
+++ b/coordination/ratelimit/borrower.go
@@ -28,8 +28,8 @@
 
 // BorrowerConfig configures a Borrower. All fields are required.
 type BorrowerConfig struct {
-	// Ask queries the pool. It must return within a bounded time, with an error if the
-	// pool's answer is unknown.
+	// Ask queries the pool. It must return within a bounded time, with an error if
+	// the pool's answer is unknown.
 	Ask func(Want) (Granted, error)
 	// Window is the longest retry delay that a request is given.
 	Window time.Duration
@@ -59,8 +59,8 @@
 	return &Borrower{cfg: cfg, waiting: make(map[string][]chan Grant), exhausted: make(map[string]exhausted)}
 }
 
-// Take requests one token for a workspace. If there is none, it returns the delay after
-// which the request may be retried.
+// Take requests one token for a workspace. If there is none, it returns the delay
+// after which the request may be retried.
 func (b *Borrower) Take(ctx context.Context, name string) (wait time.Duration, ok bool) {
 	reply, wait := b.enqueue(name)
 	if reply == nil {
--- a/coordination/ratelimit/lender.go
+++ b/coordination/ratelimit/lender.go
@@ -61,7 +61,8 @@
 	return c.processStart, now.Sub(l.epoch) + c.offset + LoanFor, true
 }
 
-// Answered records a pool's answer: the start number of its process and its clock reading.
+// Answered records a pool's answer: the start number of its process and its clock
+// reading.
 func (l *Lender) Answered(pool string, start uint64, reading time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/coordination/ratelimit/own.go
+++ b/coordination/ratelimit/own.go
@@ -27,9 +27,9 @@
 	maxBuckets = 4096
 )
 
-// Own holds the token buckets of a VM's local shares, which it uses without asking any
-// other VM. It is safe for concurrent use; workspaces are spread over shards with a lock
-// each.
+// Own holds the token buckets of a VM's local shares, which it uses without
+// asking any other VM. It is safe for concurrent use; workspaces are spread over shards
+// with a lock each.
 type Own struct {
 	cfg    Config
 	shards [shardCount]shard
@@ -52,8 +52,8 @@
 	return l
 }
 
-// Take takes a token of a workspace from the VM's local share, and reports whether there
-// was one.
+// Take takes a token of a workspace from the VM's local share, and reports whether
+// there was one.
 func (l *Own) Take(name string, limit workspace.Limit) bool {
 	s, params, now := l.shard(name), l.bucketParams(limit), l.cfg.Now()
 	s.mu.Lock()
--- a/coordination/ratelimit/pool.go
+++ b/coordination/ratelimit/pool.go
@@ -35,8 +35,8 @@
 // Grant is the answer to a request for tokens of one workspace or worker.
 type Grant struct {
 	Requests int
-	// Wait is the delay after which the last of the refused requests may be retried, if
-	// fewer requests are granted than were wanted.
+	// Wait is the delay after which the last of the refused requests may be retried,
+	// if fewer requests are granted than were wanted.
 	Wait time.Duration
 }
 
@@ -94,8 +94,8 @@
 	}
 }
 
-// Lend adds a loan, which replaces the lender's earlier one. A loan lasts for LoanDuration at
-// most.
+// Lend adds a loan, which replaces the lender's earlier one. A loan lasts for
+// LoanDuration at most.
 func (p *Pool) Lend(l Loan) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/coordination/ratelimit/ratelimit_test.go
+++ b/coordination/ratelimit/ratelimit_test.go
@@ -277,32 +277,31 @@
 	}
 }
 
-// Guards against refusing workspaces below their limits, also while one hall of six is
-// down.
+// Guards against refusing workspaces below their limits, also with one of six halls down.
 func TestWorkspacesUnderTheirLimitsAreServed(t *testing.T) {
 	const vms = 74
 	for name, rate := range map[string]float64{"small": 12, "middle": 40, "large": 366} {
 		t.Run(name, func(t *testing.T) {
 			limit := workspace.Limit{Rate: rate, Burst: rate}
-			var calm, lost tally
+			var normal, hallDown tally
 			for seed := range uint64(8) {
 				f := newFleet(vms, limit, func(int) float64 { return 1 })
 				f.simulate(10*time.Second, func(*vm) int { return 0 })
 				load := moderateLoad(seed, limit, vms)
 				f.simulate(20*time.Second, load)
-				calm.add(f)
+				normal.add(f)
 				for i, v := range f.vms {
 					if i%6 == 0 {
 						v.down = f.now + time.Minute
 					}
 				}
 				f.simulate(15*time.Second, load)
-				lost.add(f)
+				hallDown.add(f)
 			}
-			if calm.fraction() < 0.995 || lost.fraction() < 0.97 {
-				t.Errorf("%.4f of the requests pass without faults, want 0.995; %.4f while a hall is down, want 0.97", calm.fraction(), lost.fraction())
+			if normal.fraction() < 0.995 || hallDown.fraction() < 0.97 {
+				t.Errorf("%.4f of the requests pass without faults, want 0.995; %.4f while a hall is down, want 0.97", normal.fraction(), hallDown.fraction())
 			}
-			t.Logf("without faults %.4f, with a hall down %.4f", calm.fraction(), lost.fraction())
+			t.Logf("without faults %.4f, with a hall down %.4f", normal.fraction(), hallDown.fraction())
 		})
 	}
 }
--- a/coordination/retry/retry.go
+++ b/coordination/retry/retry.go
@@ -38,7 +38,7 @@
 	CauseFull Cause = "full"
 )
 
-// Verdict is the decision on another attempt, with the reason if it is refused.
+// Verdict tells whether another attempt is allowed, and why not if it is refused.
 type Verdict string
 
 // Decisions. Only DecisionRetry allows another attempt.
@@ -74,8 +74,8 @@
 	BodyGone bool
 	// Expired is set if the request's deadline has passed.
 	Expired bool
-	// Home is set if the next attempt is at the request's own hall after another hall
-	// refused it. It costs no budget, as it sends nothing twice.
+	// Home is set if the next attempt is at the request's own hall after another
+	// hall refused it. It costs no budget, as it sends nothing twice.
 	Home bool
 	// Suspect is set if the request may have crashed its upstream.
 	Suspect bool
@@ -122,7 +122,7 @@
 	return &Budget{cfg: cfg, credit: uint64(cfg.Burst) * uint64(share.Whole)}
 }
 
-// First records a first attempt.
+// First records the first attempt of a request, which adds Ratio to the budget.
 func (b *Budget) First() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
