--- a/coordination/ratelimit/borrower.go
+++ b/coordination/ratelimit/borrower.go
@@ -20,10 +20,10 @@
 	maxExhausted = 4096
 )
 
-// Want maps a workspace to the number of requests wanted for it.
+// Want maps the name of a workspace or worker to the number of requests wanted for it.
 type Want map[string]int
 
-// Granted maps a workspace to the pool's grant for it.
+// Granted maps the name of a workspace or worker to the grant for it.
 type Granted map[string]Grant
 
 // BorrowerConfig configures a Borrower. All fields are required.
@@ -36,9 +36,10 @@
 	Now    func() time.Time
 }
 
-// Borrower queries the pool on behalf of requests for which the VM's local share has no
-// token. It has one query in flight at a time; requests that arrive meanwhile are batched
-// into the next one. It is safe for concurrent use.
+// Borrower queries a pool on behalf of requests for which the VM's local share has no
+// token, or an issuer, with workers in place of workspaces. It has one query in flight at
+// a time; requests that arrive meanwhile are batched into the next one. It is safe for
+// concurrent use.
 type Borrower struct {
 	cfg BorrowerConfig
 
