--- a/coordination/balance/balance.go
+++ b/coordination/balance/balance.go
@@ -48,8 +48,8 @@
 type Fleet struct {
 	// Workers are the workers that may hold keys, by service.
 	Workers map[string][]Worker
-	// Hashed returns the worker that hashing assigns to a key, if there is one.
-	Hashed func(key demand.Key) (id string, ok bool)
+	// HashOwner returns the worker that hashing assigns to a key, if there is one.
+	HashOwner func(key demand.Key) (id string, ok bool)
 }
 
 // Worker is a worker that may hold keys.
@@ -81,8 +81,8 @@
 	}
 }
 
-// Restart discards all state, for use after another balancer was in charge meanwhile.
-func (b *Balancer) Restart() {
+// Reset discards all state, for use after another balancer was in charge meanwhile.
+func (b *Balancer) Reset() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	clear(b.keys)
@@ -91,8 +91,8 @@
 	clear(b.totalTime)
 }
 
-// Add adds the demand that VMs have counted.
-func (b *Balancer) Add(r demand.Report) {
+// AddReport adds the demand that VMs have counted.
+func (b *Balancer) AddReport(r demand.Report) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	now := b.cfg.Now()
@@ -108,9 +108,9 @@
 	}
 }
 
-// Decide moves keys from overloaded workers and removes moves to workers that are gone.
+// Rebalance moves keys from overloaded workers and removes moves to workers that are gone.
 // It returns the number of keys moved.
-func (b *Balancer) Decide(f Fleet) int {
+func (b *Balancer) Rebalance(f Fleet) int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	now := b.cfg.Now()
@@ -161,7 +161,7 @@
 		s.loads[w.ID] = &workerLoad{worker: w}
 	}
 	for _, k := range keys {
-		hashed, _ := f.Hashed(k.key)
+		hashed, _ := f.HashOwner(k.key)
 		l, ok := s.loads[hashed]
 		if !ok {
 			continue
--- a/coordination/balance/balance_test.go
+++ b/coordination/balance/balance_test.go
@@ -66,10 +66,10 @@
 			r.Keys[key] = uint32(rate / 2)
 		}
 		r.Work[service] = demand.Work{Answers: 100, Time: 100 * perAnswer}
-		f.balancer.Add(r)
-		moved += f.balancer.Decide(balance.Fleet{
-			Workers: map[string][]balance.Worker{service: f.workers},
-			Hashed:  func(k demand.Key) (string, bool) { id, ok := f.hashed[k]; return id, ok },
+		f.balancer.AddReport(r)
+		moved += f.balancer.Rebalance(balance.Fleet{
+			Workers:   map[string][]balance.Worker{service: f.workers},
+			HashOwner: func(k demand.Key) (string, bool) { id, ok := f.hashed[k]; return id, ok },
 		})
 	}
 	return moved
--- a/coordination/capacity/capacity_test.go
+++ b/coordination/capacity/capacity_test.go
@@ -29,7 +29,7 @@
 // newPool returns a pool whose workers have just reported that they are idle.
 func newPool(n, slots int) (*capacity.Pool, *clockwork.FakeClock) {
 	clock := clockwork.NewFakeClock()
-	p := capacity.New(capacity.Config{Now: clock.Now, LeastHeadroom: 10 * share.Percent})
+	p := capacity.New(capacity.Config{Now: clock.Now, MinHeadroom: 10 * share.Percent})
 	p.SetWorkers(workers(n, slots))
 	for i := range n {
 		p.Report(fmt.Sprintf("w%d", i), capacity.Report{Start: 1})
@@ -82,7 +82,7 @@
 			case 8: // Reports with wrong counts in both directions.
 				p.Report(id, capacity.Report{Start: uint64(rapid.IntRange(1, 2).Draw(t, "start")), InFlight: rapid.IntRange(0, 9).Draw(t, "says")})
 			case 9:
-				p.Unreachable(id)
+				p.RecordUnreachable(id)
 			}
 			for id, used := range perWorker {
 				if used > slots {
@@ -115,25 +115,25 @@
 func TestGrantExpiresLaterAtTheLender(t *testing.T) {
 	Convey("Given a grant that a VM holds", t, func() {
 		p, clock := newPool(2, 5)
-		holder := capacity.NewHolder(clock.Now)
+		holder := capacity.NewGrantHolder(clock.Now)
 		source := capacity.Source{Service: "lookup", Hall: "b"}
 		requested := clock.Now()
 		clock.Advance(100 * time.Millisecond) // transit time of the request
 		g := p.Lend("a1", 3, 0)
-		holder.Put(source, capacity.Held{Lender: "b1", ID: g.ID, Slots: g.Slots, Ends: requested.Add(g.Term)})
+		holder.AddGrant(source, capacity.HeldGrant{Lender: "b1", ID: g.ID, Slots: g.Slots, ExpiresAt: requested.Add(g.Term)})
 		Convey("a holder frozen past the term no longer uses it", func() {
-			So(holder.Take(source), ShouldNotBeNil)
+			So(holder.AcquireSlot(source), ShouldNotBeNil)
 			clock.Advance(g.Term)
-			So(holder.Take(source), ShouldBeNil)
+			So(holder.AcquireSlot(source), ShouldBeNil)
 			Convey("a holder that ignores the expiry is refused by the lender", func() {
 				clock.Advance(time.Second)
 				_, err := p.Redeem(g.ID)
-				So(err, ShouldEqual, capacity.ErrGrant)
+				So(err, ShouldEqual, capacity.ErrUnknownGrant)
 			})
 		})
 		Convey("a request sent just before the holder's expiry is accepted by the lender", func() {
 			clock.Advance(g.Term - 101*time.Millisecond)
-			So(holder.Take(source), ShouldNotBeNil)
+			So(holder.AcquireSlot(source), ShouldNotBeNil)
 			clock.Advance(400 * time.Millisecond)
 			_, err := p.Redeem(g.ID)
 			So(err, ShouldBeNil)
--- a/coordination/capacity/choice.go
+++ b/coordination/capacity/choice.go
@@ -5,9 +5,9 @@
 
 import "math/rand/v2"
 
-// Choice selects among the workers of a pool that have a free slot. It is one of
+// SelectionPolicy selects among the workers of a pool that have a free slot. It is one of
 // LeastLoaded, TwoChoices, RoundRobin and Random.
-type Choice interface{ selectionPolicy() }
+type SelectionPolicy interface{ selectionPolicy() }
 
 // LeastLoaded picks the worker with the smallest fraction of its slots in use and, among
 // equals, the one with the lowest recent latency. A pool is the only sender to its workers
@@ -31,7 +31,7 @@
 // pickWorker returns a worker with a free slot, or nil if there is none.
 func (p *Pool) pickWorker() *worker {
 	n := len(p.order)
-	switch p.cfg.Choice.(type) {
+	switch p.cfg.Policy.(type) {
 	case TwoChoices:
 		first, second := p.firstFree(rand.IntN(n)), p.firstFree(rand.IntN(n))
 		return p.preferred(first, second)
--- a/coordination/capacity/grant.go
+++ b/coordination/capacity/grant.go
@@ -67,10 +67,10 @@
 	p.expireGrants()
 	g, ok := p.grants[id]
 	if !ok {
-		return nil, ErrGrant
+		return nil, ErrUnknownGrant
 	}
 	if g.inUse >= g.slots {
-		return nil, ErrSpent
+		return nil, ErrGrantExhausted
 	}
 	if p.waiters.Len() > 0 {
 		return nil, ErrFull // the pool's own callers have precedence
@@ -87,7 +87,7 @@
 // wait for and less the headroom, which is at least one slot.
 func (p *Pool) lendable() int {
 	usable := p.usable()
-	headroom := max(1, int(p.cfg.LeastHeadroom.Of(uint64(usable))))
+	headroom := max(1, int(p.cfg.MinHeadroom.Of(uint64(usable))))
 	return usable - headroom - p.inUse - p.lentUnused() - p.waiters.Len()
 }
 
--- a/coordination/capacity/holder.go
+++ b/coordination/capacity/holder.go
@@ -22,19 +22,19 @@
 	Hall    string
 }
 
-// Held is a grant as its holder knows it.
-type Held struct {
+// HeldGrant is a grant as its holder knows it.
+type HeldGrant struct {
 	Lender string
 	ID     uint64
 	Slots  int
-	// Ends is the end of the term by the holder's clock, counted from the time of the
+	// ExpiresAt is the end of the term by the holder's clock, counted from the time of the
 	// request, so it is always before the lender's own expiry.
-	Ends time.Time
+	ExpiresAt time.Time
 }
 
-// Holder tracks the grants that one VM holds, and how many slots it needs. It is safe
+// GrantHolder tracks the grants that one VM holds, and how many slots it needs. It is safe
 // for concurrent use.
-type Holder struct {
+type GrantHolder struct {
 	now     func() time.Time
 	mu      sync.Mutex
 	sources map[Source]*sourceGrants
@@ -49,34 +49,34 @@
 }
 
 type trackedGrant struct {
-	Held
+	HeldGrant
 	inUse int
 }
 
-// Use is one request that is sent under a grant.
-type Use struct {
-	holder *Holder
+// GrantUse is one request that is sent under a grant.
+type GrantUse struct {
+	holder *GrantHolder
 	source *sourceGrants
 	held   *trackedGrant
-	grant  Held
+	grant  HeldGrant
 	once   sync.Once
 }
 
-// NewHolder returns a GrantHolder without grants. The clock must not run backwards.
-func NewHolder(now func() time.Time) *Holder {
-	return &Holder{now: now, sources: make(map[Source]*sourceGrants)}
+// NewGrantHolder returns a GrantHolder without grants. The clock must not run backwards.
+func NewGrantHolder(now func() time.Time) *GrantHolder {
+	return &GrantHolder{now: now, sources: make(map[Source]*sourceGrants)}
 }
 
-// Take reserves one slot of an unexpired grant. It returns nil if there is none, and
+// AcquireSlot reserves one slot of an unexpired grant. It returns nil if there is none, and
 // counts that one was needed.
-func (h *Holder) Take(s Source) *Use {
+func (h *GrantHolder) AcquireSlot(s Source) *GrantUse {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	sg := h.sourceGrants(s)
 	now := h.now()
 	var best *trackedGrant
 	for _, g := range sg.grants {
-		if g.inUse < g.Slots && now.Before(g.Ends) && (best == nil || g.Slots-g.inUse > best.Slots-best.inUse) {
+		if g.inUse < g.Slots && now.Before(g.ExpiresAt) && (best == nil || g.Slots-g.inUse > best.Slots-best.inUse) {
 			best = g
 		}
 	}
@@ -88,45 +88,45 @@
 	best.inUse++
 	sg.inUse++
 	sg.demand = max(sg.demand, sg.inUse)
-	return &Use{holder: h, source: sg, held: best, grant: best.Held}
+	return &GrantUse{holder: h, source: sg, held: best, grant: best.HeldGrant}
 }
 
-// Put adds a grant, or replaces the previous one with the same lender and id.
-func (h *Holder) Put(s Source, grant Held) {
+// AddGrant adds a grant, or replaces the previous one with the same lender and id.
+func (h *GrantHolder) AddGrant(s Source, grant HeldGrant) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	sg := h.sourceGrants(s)
 	for _, g := range sg.grants {
 		if g.Lender == grant.Lender && g.ID == grant.ID {
-			g.Held = grant
+			g.HeldGrant = grant
 			return
 		}
 	}
-	sg.grants = append(sg.grants, &trackedGrant{Held: grant})
+	sg.grants = append(sg.grants, &trackedGrant{HeldGrant: grant})
 }
 
-// Drop expires the grants of a lender that refused one of them.
-func (h *Holder) Drop(s Source, lender string) {
+// ExpireGrants expires the grants of a lender that refused one of them.
+func (h *GrantHolder) ExpireGrants(s Source, lender string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	sg := h.sourceGrants(s)
 	for _, g := range sg.grants {
 		if g.Lender == lender {
-			g.Ends = time.Time{}
+			g.ExpiresAt = time.Time{}
 		}
 	}
 }
 
-// Want returns how many slots to request at a renewal and starts a new period.
+// SlotsToRequest returns how many slots to request at a renewal and starts a new period.
 // It returns 0 after several periods without demand.
-func (h *Holder) Want(s Source) int {
+func (h *GrantHolder) SlotsToRequest(s Source) int {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	sg := h.sourceGrants(s)
 	now := h.now()
 	kept := sg.grants[:0]
 	for _, g := range sg.grants {
-		if g.inUse > 0 || now.Before(g.Ends) {
+		if g.inUse > 0 || now.Before(g.ExpiresAt) {
 			kept = append(kept, g)
 		}
 	}
@@ -146,7 +146,7 @@
 }
 
 // Sources returns the sources from which slots are borrowed or were recently needed.
-func (h *Holder) Sources() []Source {
+func (h *GrantHolder) Sources() []Source {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	sources := make([]Source, 0, len(h.sources))
@@ -156,23 +156,23 @@
 	return sources
 }
 
-// Good returns how many slots of a source can be used now.
-func (h *Holder) Good(s Source) int {
+// AvailableSlots returns how many slots of a source can be used now.
+func (h *GrantHolder) AvailableSlots(s Source) int {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	now := h.now()
 	total := 0
 	for _, g := range h.sourceGrants(s).grants {
-		if now.Before(g.Ends) {
+		if now.Before(g.ExpiresAt) {
 			total += max(0, g.Slots-g.inUse)
 		}
 	}
 	return total
 }
 
-// Forget removes the sources that had no demand for several periods, except those in
+// RemoveIdle removes the sources that had no demand for several periods, except those in
 // keep.
-func (h *Holder) Forget(keep map[Source]bool) {
+func (h *GrantHolder) RemoveIdle(keep map[Source]bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	for s, sg := range h.sources {
@@ -182,7 +182,7 @@
 	}
 }
 
-func (h *Holder) sourceGrants(s Source) *sourceGrants {
+func (h *GrantHolder) sourceGrants(s Source) *sourceGrants {
 	sg, ok := h.sources[s]
 	if !ok {
 		sg = &sourceGrants{}
@@ -192,10 +192,10 @@
 }
 
 // Grant returns the grant under which the request is sent.
-func (u *Use) Grant() Held { return u.grant }
+func (u *GrantUse) Grant() HeldGrant { return u.grant }
 
 // Done releases the slot. Only the first call has an effect.
-func (u *Use) Done() {
+func (u *GrantUse) Done() {
 	u.once.Do(func() {
 		u.holder.mu.Lock()
 		defer u.holder.mu.Unlock()
--- a/coordination/capacity/pool.go
+++ b/coordination/capacity/pool.go
@@ -43,12 +43,12 @@
 
 // Errors of a reservation. None of them takes a slot.
 var (
-	ErrFull      = errors.New("capacity: every slot is in use")
-	ErrNoWorkers = errors.New("capacity: no usable worker")
-	ErrQueueFull = errors.New("capacity: too many requests wait for a slot")
-	ErrTimeout   = errors.New("capacity: deadline passed while waiting for a slot")
-	ErrGrant     = errors.New("capacity: unknown or expired grant")
-	ErrSpent     = errors.New("capacity: every slot of the grant is in use")
+	ErrFull           = errors.New("capacity: every slot is in use")
+	ErrNoWorkers      = errors.New("capacity: no usable worker")
+	ErrQueueFull      = errors.New("capacity: too many requests wait for a slot")
+	ErrTimeout        = errors.New("capacity: deadline passed while waiting for a slot")
+	ErrUnknownGrant   = errors.New("capacity: unknown or expired grant")
+	ErrGrantExhausted = errors.New("capacity: every slot of the grant is in use")
 )
 
 const (
@@ -62,10 +62,10 @@
 type Config struct {
 	// Now is the clock, which must not run backwards. Default time.Now.
 	Now func() time.Time
-	// Choice selects the worker of a reservation. Default LeastLoaded.
-	Choice Choice
-	// LeastHeadroom is the fraction of the usable slots that is never lent.
-	LeastHeadroom share.PPM
+	// Policy selects the worker of a reservation. Default LeastLoaded.
+	Policy SelectionPolicy
+	// MinHeadroom is the fraction of the usable slots that is never lent.
+	MinHeadroom share.PPM
 }
 
 // Pool counts the slots of the workers of one service that one VM owns. It is safe for
@@ -92,8 +92,8 @@
 	if cfg.Now == nil {
 		cfg.Now = time.Now //nolint:forbidigo // The default for embedders.
 	}
-	if cfg.Choice == nil {
-		cfg.Choice = LeastLoaded{}
+	if cfg.Policy == nil {
+		cfg.Policy = LeastLoaded{}
 	}
 	return &Pool{
 		cfg:     cfg,
@@ -107,7 +107,7 @@
 func (p *Pool) SetHeadroom(least share.PPM) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.cfg.LeastHeadroom = least
+	p.cfg.MinHeadroom = least
 }
 
 // SetWorkers replaces the owned workers. A worker that is no longer listed gets no new
--- a/coordination/capacity/worker.go
+++ b/coordination/capacity/worker.go
@@ -153,8 +153,8 @@
 	p.serveWaiters()
 }
 
-// Unreachable records that a worker could not be polled for its load.
-func (p *Pool) Unreachable(id string) {
+// RecordUnreachable records that a worker could not be polled for its load.
+func (p *Pool) RecordUnreachable(id string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if w, ok := p.workers[id]; ok {
@@ -176,8 +176,8 @@
 	return starts
 }
 
-// Owned returns the workers that the pool currently owns.
-func (p *Pool) Owned() []Worker {
+// OwnedWorkers returns the workers that the pool currently owns.
+func (p *Pool) OwnedWorkers() []Worker {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	owned := make([]Worker, 0, len(p.order))
--- a/coordination/outlier/outlier.go
+++ b/coordination/outlier/outlier.go
@@ -49,9 +49,9 @@
 // Config configures a Detector. Now is required.
 type Config struct{ Now func() time.Time }
 
-// Judge aggregates the outcomes of workers and detects those that fail too often. It is
+// Detector aggregates the outcomes of workers and detects those that fail too often. It is
 // safe for concurrent use.
-type Judge struct {
+type Detector struct {
 	cfg Config
 
 	mu      sync.Mutex
@@ -68,10 +68,10 @@
 }
 
 // New returns a Detector without outcomes.
-func New(cfg Config) *Judge { return &Judge{cfg: cfg, workers: make(map[string]*workerStats)} }
+func New(cfg Config) *Detector { return &Detector{cfg: cfg, workers: make(map[string]*workerStats)} }
 
-// Add adds outcomes by worker id.
-func (d *Judge) Add(outcomes map[string]worker.Outcomes) {
+// AddOutcomes adds outcomes by worker id.
+func (d *Detector) AddOutcomes(outcomes map[string]worker.Outcomes) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	now := d.cfg.Now()
@@ -107,7 +107,7 @@
 }
 
 // dropStale removes the workers without recent outcomes, or all if too many remain.
-func (d *Judge) dropStale(now time.Time) {
+func (d *Detector) dropStale(now time.Time) {
 	for id, s := range d.workers {
 		if now.Sub(s.updatedAt) > resetAfter {
 			delete(d.workers, id)
@@ -118,8 +118,8 @@
 	}
 }
 
-// Spared returns the workers that are ejected now, and how much longer.
-func (d *Judge) Spared() map[string]time.Duration {
+// Ejected returns the workers that are ejected now, and how much longer.
+func (d *Detector) Ejected() map[string]time.Duration {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	now := d.cfg.Now()
--- a/coordination/outlier/outlier_test.go
+++ b/coordination/outlier/outlier_test.go
@@ -17,13 +17,13 @@
 
 // simulate sends a worker requests of which a fraction fails, except while it is ejected.
 // It returns the fraction of requests that fell into an ejection.
-func simulate(detector *outlier.Judge, clock *clockwork.FakeClock, perSecond, seconds int, failing float64) float64 {
+func simulate(detector *outlier.Detector, clock *clockwork.FakeClock, perSecond, seconds int, failing float64) float64 {
 	random := rand.New(rand.NewPCG(1, 2))
 	ejected := 0
 	steps := perSecond * seconds
 	for range steps {
 		clock.Advance(time.Second / time.Duration(perSecond))
-		if detector.Spared()["w"] > 0 {
+		if detector.Ejected()["w"] > 0 {
 			ejected++
 			continue
 		}
@@ -31,7 +31,7 @@
 		if random.Float64() < failing {
 			o = worker.Outcomes{Failed: 1}
 		}
-		detector.Add(map[string]worker.Outcomes{"w": o})
+		detector.AddOutcomes(map[string]worker.Outcomes{"w": o})
 	}
 	return float64(ejected) / float64(steps)
 }
@@ -79,13 +79,13 @@
 	for range 6 {
 		alone := outlier.New(outlier.Config{Now: clock.Now})
 		seen := map[string]worker.Outcomes{"w": {Answered: 1, Failed: 1}}
-		alone.Add(seen)
-		detector.Add(seen)
-		if len(alone.Spared()) > 0 {
+		alone.AddOutcomes(seen)
+		detector.AddOutcomes(seen)
+		if len(alone.Ejected()) > 0 {
 			t.Fatal("one failure of two exchanges ejects a worker")
 		}
 	}
-	if detector.Spared()["w"] == 0 {
+	if detector.Ejected()["w"] == 0 {
 		t.Error("six failures of twelve exchanges do not eject a worker")
 	}
 }
@@ -94,9 +94,9 @@
 	clock := clockwork.NewFakeClock()
 	detector := outlier.New(outlier.Config{Now: clock.Now})
 	for i := range 40_000 {
-		detector.Add(map[string]worker.Outcomes{fmt.Sprint(i): {Failed: 9}})
+		detector.AddOutcomes(map[string]worker.Outcomes{fmt.Sprint(i): {Failed: 9}})
 	}
-	if n := len(detector.Spared()); n > 16384 {
+	if n := len(detector.Ejected()); n > 16384 {
 		t.Errorf("%d workers are tracked", n)
 	}
 }
--- a/coordination/placement/fleet.go
+++ b/coordination/placement/fleet.go
@@ -23,7 +23,7 @@
 		fleet.Workers[w.Service] = append(fleet.Workers[w.Service], balance.Worker{Worker: *w, Full: !ready || p.IsCold(s, w)})
 		candidates[w.Service] = append(candidates[w.Service], w)
 	}
-	fleet.Hashed = func(key demand.Key) (string, bool) {
+	fleet.HashOwner = func(key demand.Key) (string, bool) {
 		return hashedHolder(key, s, candidates[key.Service])
 	}
 	return fleet
--- a/coordination/ratelimit/borrower.go
+++ b/coordination/ratelimit/borrower.go
@@ -20,17 +20,17 @@
 	maxExhausted = 4096
 )
 
-// Want maps the name of a workspace or worker to the number of requests wanted for it.
-type Want map[string]int
+// RequestCounts maps the name of a workspace or worker to the number of requests wanted for it.
+type RequestCounts map[string]int
 
-// Granted maps the name of a workspace or worker to the grant for it.
-type Granted map[string]Grant
+// Grants maps the name of a workspace or worker to the grant for it.
+type Grants map[string]Grant
 
 // BorrowerConfig configures a Borrower. All fields are required.
 type BorrowerConfig struct {
-	// Ask queries the pool. It must return within a bounded time, with an error if
+	// QueryPool queries the pool. It must return within a bounded time, with an error if
 	// the pool's answer is unknown.
-	Ask func(Want) (Granted, error)
+	QueryPool func(RequestCounts) (Grants, error)
 	// Window is the longest retry delay that a request is given.
 	Window time.Duration
 	Now    func() time.Time
@@ -60,16 +60,16 @@
 	return &Borrower{cfg: cfg, waiting: make(map[string][]chan Grant), exhausted: make(map[string]exhausted)}
 }
 
-// Take requests one token for a workspace. If there is none, it returns the delay
+// TakeToken requests one token for a workspace. If there is none, it returns the delay
 // after which the request may be retried.
-func (b *Borrower) Take(ctx context.Context, name string) (wait time.Duration, ok bool) {
+func (b *Borrower) TakeToken(ctx context.Context, name string) (wait time.Duration, ok bool) {
 	reply, wait := b.enqueue(name)
 	if reply == nil {
 		return wait, false
 	}
 	select {
 	case g := <-reply:
-		return g.Wait, g.Requests > 0
+		return g.RetryAfter, g.Requests > 0
 	case <-ctx.Done():
 		return b.cfg.Window, false
 	}
@@ -108,32 +108,32 @@
 		}
 		b.waiting, b.waitingCount = make(map[string][]chan Grant), 0
 		b.mu.Unlock()
-		counts := make(Want, len(batch))
+		counts := make(RequestCounts, len(batch))
 		for name, replies := range batch {
 			counts[name] = len(replies)
 		}
-		grants, err := b.cfg.Ask(counts)
+		grants, err := b.cfg.QueryPool(counts)
 		b.deliver(batch, grants, err)
 	}
 }
 
 // deliver sends each request of a batch its answer. A workspace that is missing from the
 // pool's answer is treated as refused.
-func (b *Borrower) deliver(batch map[string][]chan Grant, grants Granted, err error) {
+func (b *Borrower) deliver(batch map[string][]chan Grant, grants Grants, err error) {
 	for name, replies := range batch {
 		g, known := grants[name]
 		if err != nil || !known {
-			g = Grant{Wait: exhaustedTTL}
+			g = Grant{RetryAfter: exhaustedTTL}
 		}
 		for i, reply := range replies {
-			single := Grant{Wait: g.Wait}
+			single := Grant{RetryAfter: g.RetryAfter}
 			if i < g.Requests {
 				single.Requests = 1
 			}
 			reply <- single
 		}
 		if g.Requests < len(replies) {
-			b.markExhausted(name, g.Wait)
+			b.markExhausted(name, g.RetryAfter)
 		}
 	}
 }
--- a/coordination/ratelimit/issuer.go
+++ b/coordination/ratelimit/issuer.go
@@ -34,13 +34,13 @@
 
 // Demand is a query for requests to a worker that states a limit.
 type Demand struct {
-	// Life identifies the worker's process.
-	Life string
-	// PerS is the worker's limit in requests a second.
-	PerS float64
-	// Live and Listed are the numbers of VMs of the worker's region that the issuer
+	// Instance identifies the worker's process.
+	Instance string
+	// RatePerSecond is the worker's limit in requests a second.
+	RatePerSecond float64
+	// LiveVMs and ListedVMs are the numbers of VMs of the worker's region that the issuer
 	// considers live, and that are listed.
-	Live, Listed int
+	LiveVMs, ListedVMs int
 	// Priority is the priority of the requests; 0 is the most urgent.
 	Priority int
 	// Requests is the number of requests wanted.
@@ -49,9 +49,9 @@
 
 // rate returns the rate at which requests are granted.
 func (d Demand) rate() float64 {
-	rate := max(d.PerS*issuedFraction, minIssueRate)
-	if 2*d.Live < d.Listed {
-		return rate * isolatedFraction / issuedFraction / float64(d.Listed)
+	rate := max(d.RatePerSecond*issuedFraction, minIssueRate)
+	if 2*d.LiveVMs < d.ListedVMs {
+		return rate * isolatedFraction / issuedFraction / float64(d.ListedVMs)
 	}
 	return rate
 }
@@ -82,13 +82,13 @@
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	now := i.now()
-	b, ok := i.workers[d.Life]
+	b, ok := i.workers[d.Instance]
 	if !ok {
 		if len(i.workers) >= maxIssuerWorkers {
 			clear(i.workers)
 		}
 		b = &issuerBucket{}
-		i.workers[d.Life] = b
+		i.workers[d.Instance] = b
 	}
 	params := bucketParams{rate: d.rate(), capacity: issuedBurst}
 	b.refill(params, now)
@@ -99,13 +99,13 @@
 		g.Requests++
 	}
 	for range d.Requests - g.Requests {
-		g.Wait = b.nextDelay(params, now, maxRetryDelay)
+		g.RetryAfter = b.nextDelay(params, now, maxRetryDelay)
 	}
 	return g
 }
 
-// Forget removes the workers for which keep returns false.
-func (i *Issuer) Forget(keep func(life string) bool) {
+// Retain removes the workers for which keep returns false.
+func (i *Issuer) Retain(keep func(life string) bool) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	for life := range i.workers {
--- a/coordination/ratelimit/issuer_test.go
+++ b/coordination/ratelimit/issuer_test.go
@@ -45,7 +45,7 @@
 				}
 			}
 			for _, vm := range vms {
-				g := issuers[vm].Issue(ratelimit.Demand{Life: "w", PerS: perS, Live: live(vm), Listed: listed, Requests: 3})
+				g := issuers[vm].Issue(ratelimit.Demand{Instance: "w", RatePerSecond: perS, LiveVMs: live(vm), ListedVMs: listed, Requests: 3})
 				for range g.Requests {
 					ran = append(ran, now)
 				}
@@ -89,13 +89,13 @@
 					if every == 0 || step%every != 0 {
 						continue
 					}
-					g := issuer.Issue(ratelimit.Demand{Life: "w", PerS: limit, Live: 1, Listed: 1, Priority: priority, Requests: 1})
+					g := issuer.Issue(ratelimit.Demand{Instance: "w", RatePerSecond: limit, LiveVMs: 1, ListedVMs: 1, Priority: priority, Requests: 1})
 					asked[priority]++
 					got[priority] += float64(g.Requests)
-					if g.Requests == 0 && (g.Wait <= 0 || g.Wait > time.Second) {
-						t.Fatalf("denied for %s", g.Wait)
+					if g.Requests == 0 && (g.RetryAfter <= 0 || g.RetryAfter > time.Second) {
+						t.Fatalf("denied for %s", g.RetryAfter)
 					}
-					last = max(last, g.Wait)
+					last = max(last, g.RetryAfter)
 				}
 			}
 			if c.urgentEvery > 0 && got[0] < c.urgentFraction*min(asked[0], 0.75*limit*span.Seconds()) {
--- a/coordination/ratelimit/lender.go
+++ b/coordination/ratelimit/lender.go
@@ -43,10 +43,10 @@
 	return &Lender{now: now, epoch: now(), clocks: make(map[string]poolClock)}
 }
 
-// Offer starts or renews the loan to a pool. It returns the start number of the pool's
+// OfferLoan starts or renews the loan to a pool. It returns the start number of the pool's
 // process and when the loan ends by the clock of that process. It returns false while the
 // pool's clock is unknown or another pool holds the shares.
-func (l *Lender) Offer(pool string) (start uint64, until time.Duration, ok bool) {
+func (l *Lender) OfferLoan(pool string) (start uint64, until time.Duration, ok bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	now := l.now()
@@ -57,13 +57,13 @@
 	if !known {
 		return 0, 0, false
 	}
-	l.pool, l.until = pool, now.Add(LoanFor+time.Duration(driftFraction*float64(LoanFor)))
-	return c.processStart, now.Sub(l.epoch) + c.offset + LoanFor, true
+	l.pool, l.until = pool, now.Add(LoanDuration+time.Duration(driftFraction*float64(LoanDuration)))
+	return c.processStart, now.Sub(l.epoch) + c.offset + LoanDuration, true
 }
 
-// Answered records a pool's answer: the start number of its process and its clock
+// ObserveClock records a pool's answer: the start number of its process and its clock
 // reading.
-func (l *Lender) Answered(pool string, start uint64, reading time.Duration) {
+func (l *Lender) ObserveClock(pool string, start uint64, reading time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if len(l.clocks) >= maxClocks {
@@ -72,15 +72,15 @@
 	l.clocks[pool] = poolClock{processStart: start, offset: reading - l.now().Sub(l.epoch)}
 }
 
-// Holds returns the pool that holds this VM's shares now, if any.
-func (l *Lender) Holds() (pool string, ok bool) {
+// CurrentPool returns the pool that holds this VM's shares now, if any.
+func (l *Lender) CurrentPool() (pool string, ok bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.pool, l.now().Before(l.until)
 }
 
-// Returned records that a pool has confirmed the return of the shares.
-func (l *Lender) Returned(pool string) {
+// LoanReturned records that a pool has confirmed the return of the shares.
+func (l *Lender) LoanReturned(pool string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if pool == l.pool {
--- a/coordination/ratelimit/own.go
+++ b/coordination/ratelimit/own.go
@@ -27,10 +27,10 @@
 	maxBuckets = 4096
 )
 
-// Own holds the token buckets of a VM's local shares, which it uses without
+// LocalLimiter holds the token buckets of a VM's local shares, which it uses without
 // asking any other VM. It is safe for concurrent use; workspaces are spread over shards
 // with a lock each.
-type Own struct {
+type LocalLimiter struct {
 	cfg    Config
 	shards [shardCount]shard
 }
@@ -43,18 +43,18 @@
 	createdAt time.Time
 }
 
-// NewOwn returns a LocalLimiter whose buckets are empty.
-func NewOwn(cfg Config) *Own {
-	l := &Own{cfg: cfg}
+// NewLocalLimiter returns a LocalLimiter whose buckets are empty.
+func NewLocalLimiter(cfg Config) *LocalLimiter {
+	l := &LocalLimiter{cfg: cfg}
 	for i := range l.shards {
 		l.shards[i] = shard{buckets: make(map[string]*bucket), createdAt: cfg.Now()}
 	}
 	return l
 }
 
-// Take takes a token of a workspace from the VM's local share, and reports whether
+// TakeToken takes a token of a workspace from the VM's local share, and reports whether
 // there was one.
-func (l *Own) Take(name string, limit workspace.Limit) bool {
+func (l *LocalLimiter) TakeToken(name string, limit workspace.Limit) bool {
 	s, params, now := l.shard(name), l.bucketParams(limit), l.cfg.Now()
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -64,7 +64,7 @@
 }
 
 // Refund returns the token of a request to its bucket.
-func (l *Own) Refund(name string) {
+func (l *LocalLimiter) Refund(name string) {
 	s := l.shard(name)
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -73,12 +73,14 @@
 	}
 }
 
-func (l *Own) bucketParams(limit workspace.Limit) bucketParams {
+func (l *LocalLimiter) bucketParams(limit workspace.Limit) bucketParams {
 	local, _ := l.cfg.Bounds.splitShare(limit, l.cfg.VMs())
 	return local
 }
 
-func (l *Own) shard(name string) *shard { return &l.shards[xxhash.Sum64String(name)%shardCount] }
+func (l *LocalLimiter) shard(name string) *shard {
+	return &l.shards[xxhash.Sum64String(name)%shardCount]
+}
 
 // bucket returns the bucket of a workspace. A new one is refilled from the shard's
 // creation on.
--- a/coordination/ratelimit/pool.go
+++ b/coordination/ratelimit/pool.go
@@ -11,10 +11,10 @@
 )
 
 const (
-	// LoanFor is the duration of a loan, from the moment that the VM offers it: long
+	// LoanDuration is the duration of a loan, from the moment that the VM offers it: long
 	// enough that two of three renewals may be lost, short enough that another VM of the
 	// region takes over soon after a pool fails.
-	LoanFor = 750 * time.Millisecond
+	LoanDuration = 750 * time.Millisecond
 	// maxLenders bounds the VMs that lend to one pool.
 	maxLenders = 4096
 	// maxPoolWorkspaces bounds the workspaces of a pool. A pool that exceeds it is
@@ -35,9 +35,9 @@
 // Grant is the answer to a request for tokens of one workspace or worker.
 type Grant struct {
 	Requests int
-	// Wait is the delay after which the last of the refused requests may be retried,
+	// RetryAfter is the delay after which the last of the refused requests may be retried,
 	// if fewer requests are granted than were wanted.
-	Wait time.Duration
+	RetryAfter time.Duration
 }
 
 // Pool grants requests from the shares that other VMs, and its own VM, lend to it. It is
@@ -94,14 +94,14 @@
 	}
 }
 
-// Lend adds a loan, which replaces the lender's earlier one. A loan lasts for
+// AddLoan adds a loan, which replaces the lender's earlier one. A loan lasts for
 // LoanDuration at most.
-func (p *Pool) Lend(l Loan) {
+func (p *Pool) AddLoan(l Loan) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	now := p.now()
 	p.expireLoans(now)
-	if latest := now.Add(LoanFor); l.Until.After(latest) {
+	if latest := now.Add(LoanDuration); l.Until.After(latest) {
 		l.Until = latest
 	}
 	previous, known := p.lenders[l.VM]
@@ -122,16 +122,16 @@
 	}
 }
 
-// Lenders returns the number of VMs that lend to the pool.
-func (p *Pool) Lenders() int {
+// LenderCount returns the number of VMs that lend to the pool.
+func (p *Pool) LenderCount() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.expireLoans(p.now())
 	return len(p.lenders)
 }
 
-// Take grants up to maxTokens requests of a workspace.
-func (p *Pool) Take(name string, limit workspace.Limit, maxTokens int) Grant {
+// TakeTokens grants up to maxTokens requests of a workspace.
+func (p *Pool) TakeTokens(name string, limit workspace.Limit, maxTokens int) Grant {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	now := p.now()
@@ -143,7 +143,7 @@
 	b.refill(params, now)
 	g := Grant{Requests: b.takeTokens(maxTokens)}
 	for range maxTokens - g.Requests {
-		g.Wait = b.nextDelay(params, now, p.bounds.Window)
+		g.RetryAfter = b.nextDelay(params, now, p.bounds.Window)
 	}
 	return g
 }
--- a/coordination/ratelimit/ratelimit_test.go
+++ b/coordination/ratelimit/ratelimit_test.go
@@ -33,7 +33,7 @@
 	rate         float64
 	started      time.Duration // in fleet time
 	processStart uint64
-	own          *ratelimit.Own
+	own          *ratelimit.LocalLimiter
 	pool         *ratelimit.Pool
 	lender       *ratelimit.Lender
 	frozen       time.Duration // frozen until this fleet time
@@ -76,7 +76,7 @@
 	v.started, v.processStart = v.f.now, v.processStart+1
 	v.pool = ratelimit.NewPool(bounds, v.clock)
 	v.lender = ratelimit.NewLender(v.clock)
-	v.own = ratelimit.NewOwn(ratelimit.Config{Bounds: bounds, VMs: func() int { return v.f.listed }, Now: v.clock})
+	v.own = ratelimit.NewLocalLimiter(ratelimit.Config{Bounds: bounds, VMs: func() int { return v.f.listed }, Now: v.clock})
 }
 
 func newFleet(size int, limit workspace.Limit, rate func(i int) float64) *fleet {
@@ -105,13 +105,13 @@
 func (f *fleet) renewLoan(v *vm, delay time.Duration) {
 	v.loanRenewed = f.now
 	p := f.poolOf(v)
-	if start, until, ok := v.lender.Offer(p.name); ok {
+	if start, until, ok := v.lender.OfferLoan(p.name); ok {
 		f.inFlight = append(f.inFlight, message{
 			at: f.now + delay, to: p, processStart: start, until: until, loan: ratelimit.Loan{VM: v.name, VMs: f.listed},
 		})
 	}
 	if p.up() {
-		v.lender.Answered(p.name, p.processStart, p.clock().Sub(epoch))
+		v.lender.ObserveClock(p.name, p.processStart, p.clock().Sub(epoch))
 	}
 }
 
@@ -122,7 +122,7 @@
 		}
 		if m.to.processStart == m.processStart {
 			m.loan.Until = epoch.Add(m.until)
-			m.to.pool.Lend(m.loan)
+			m.to.pool.AddLoan(m.loan)
 		}
 		return true
 	})
@@ -131,11 +131,11 @@
 // request sends one request to a VM.
 func (f *fleet) request(v *vm) {
 	f.asked++
-	if v.own.Take("w", f.limit) {
+	if v.own.TakeToken("w", f.limit) {
 		f.recordRun()
 		return
 	}
-	if p := f.poolOf(v); p.up() && p.pool.Take("w", f.limit, 1).Requests == 1 {
+	if p := f.poolOf(v); p.up() && p.pool.TakeTokens("w", f.limit, 1).Requests == 1 {
 		f.recordRun()
 	}
 }
@@ -154,7 +154,7 @@
 			if !v.up() {
 				continue
 			}
-			if f.now-v.loanRenewed >= ratelimit.LoanFor/3 {
+			if f.now-v.loanRenewed >= ratelimit.LoanDuration/3 {
 				f.renewLoan(v, time.Duration(i%3)*step)
 			}
 			for range requests(v) {
@@ -364,17 +364,17 @@
 	pool := ratelimit.NewPool(bounds, func() time.Time { return now })
 	lend := func() {
 		for i := range 10 {
-			pool.Lend(ratelimit.Loan{VM: fmt.Sprint(i), VMs: 10, Until: now.Add(time.Hour)})
+			pool.AddLoan(ratelimit.Loan{VM: fmt.Sprint(i), VMs: 10, Until: now.Add(time.Hour)})
 		}
 	}
 	lend() // The buckets are still empty.
 	var retries []time.Time
 	for range refused {
-		g := pool.Take("w", limit, 1)
+		g := pool.TakeTokens("w", limit, 1)
 		if g.Requests != 0 {
 			t.Fatal("an empty pool grants a request")
 		}
-		retries = append(retries, now.Add(g.Wait))
+		retries = append(retries, now.Add(g.RetryAfter))
 	}
 	if last := retries[refused-1].Sub(epoch); last < time.Second || last > 4*time.Second {
 		t.Errorf("the last of %d is to be retried after %s, want 1 s to 4 s", refused, last)
@@ -385,14 +385,14 @@
 			now = now.Add(min(at.Sub(now), 100*time.Millisecond))
 			lend()
 		}
-		served += pool.Take("w", limit, 1).Requests
+		served += pool.TakeTokens("w", limit, 1).Requests
 	}
 	if served < refused*9/10 {
 		t.Errorf("%d of %d retries are served, want nine in ten", served, refused)
 	}
 	for range 10_000 {
-		if g := pool.Take("w", limit, 1); g.Wait > bounds.Window {
-			t.Fatalf("retry delay %s exceeds the window", g.Wait)
+		if g := pool.TakeTokens("w", limit, 1); g.RetryAfter > bounds.Window {
+			t.Fatalf("retry delay %s exceeds the window", g.RetryAfter)
 		}
 	}
 }
--- a/coordination/retry/retry.go
+++ b/coordination/retry/retry.go
@@ -38,47 +38,47 @@
 	CauseFull Cause = "full"
 )
 
-// Verdict tells whether another attempt is allowed, and why not if it is refused.
-type Verdict string
+// Decision tells whether another attempt is allowed, and why not if it is refused.
+type Decision string
 
 // Decisions. Only DecisionRetry allows another attempt.
 const (
-	VerdictAgain      Verdict = "again"
-	VerdictMayHaveRun Verdict = "may-have-run"
-	VerdictBodyGone   Verdict = "body-gone"
-	VerdictTries      Verdict = "tries"
-	VerdictBudget     Verdict = "budget"
-	VerdictDeadline   Verdict = "deadline"
-	VerdictFinal      Verdict = "final"
-	VerdictSuspect    Verdict = "suspect"
+	DecisionRetry          Decision = "again"
+	DecisionMayHaveRun     Decision = "may-have-run"
+	DecisionBodyConsumed   Decision = "body-gone"
+	DecisionMaxAttempts    Decision = "tries"
+	DecisionBudgetSpent    Decision = "budget"
+	DecisionDeadlinePassed Decision = "deadline"
+	DecisionFinal          Decision = "final"
+	DecisionSuspectedCrash Decision = "suspect"
 )
 
-// Again reports whether another attempt is allowed.
-func (d Verdict) Again() bool { return d == VerdictAgain }
+// Allowed reports whether another attempt is allowed.
+func (d Decision) Allowed() bool { return d == DecisionRetry }
 
-// Try describes a failed attempt.
-type Try struct {
+// Attempt describes a failed attempt.
+type Attempt struct {
 	// Number is the number of the attempt of this request, from 1.
 	Number int
-	// MaxTries bounds the attempts of this request; 0 means the bound of the budget.
-	MaxTries int
-	Cause    Cause
+	// MaxAttempts bounds the attempts of this request; 0 means the bound of the budget.
+	MaxAttempts int
+	Cause       Cause
 	// Unsent is set if no byte of the request reached an upstream. Such an attempt causes
 	// no load, so the next one costs no budget.
 	Unsent bool
 	// NotRun is set if it is certain that no upstream started to run the request.
 	NotRun bool
-	// Repeatable is set if running the request twice does no harm.
-	Repeatable bool
-	// BodyGone is set if part of the body was sent and cannot be read again.
-	BodyGone bool
-	// Expired is set if the request's deadline has passed.
-	Expired bool
-	// Home is set if the next attempt is at the request's own hall after another
+	// Idempotent is set if running the request twice does no harm.
+	Idempotent bool
+	// BodyConsumed is set if part of the body was sent and cannot be read again.
+	BodyConsumed bool
+	// DeadlinePassed is set if the request's deadline has passed.
+	DeadlinePassed bool
+	// HomeFallback is set if the next attempt is at the request's own hall after another
 	// hall refused it. It costs no budget, as it sends nothing twice.
-	Home bool
-	// Suspect is set if the request may have crashed its upstream.
-	Suspect bool
+	HomeFallback bool
+	// SuspectedCrash is set if the request may have crashed its upstream.
+	SuspectedCrash bool
 	// Final is set if another attempt would fail for the same reason: no free slot was
 	// found in the time that the request may wait.
 	Final bool
@@ -93,8 +93,8 @@
 	Ratio share.PPM
 	// Burst is the number of further attempts that may be saved up. Default 10.
 	Burst int
-	// MaxTries bounds the attempts of one request. Default 3.
-	MaxTries int
+	// MaxAttempts bounds the attempts of one request. Default 3.
+	MaxAttempts int
 	// Unlimited disables the budget. It is a baseline for measurements.
 	Unlimited bool
 }
@@ -116,14 +116,14 @@
 	if cfg.Burst <= 0 {
 		cfg.Burst = defaultBurst
 	}
-	if cfg.MaxTries <= 0 {
-		cfg.MaxTries = defaultAttempts
+	if cfg.MaxAttempts <= 0 {
+		cfg.MaxAttempts = defaultAttempts
 	}
 	return &Budget{cfg: cfg, credit: uint64(cfg.Burst) * uint64(share.Whole)}
 }
 
-// First records the first attempt of a request, which adds Ratio to the budget.
-func (b *Budget) First() {
+// RecordFirst records the first attempt of a request, which adds Ratio to the budget.
+func (b *Budget) RecordFirst() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.credit = min(b.credit+uint64(b.cfg.Ratio), uint64(b.cfg.Burst)*uint64(share.Whole))
@@ -131,26 +131,26 @@
 
 // Decide decides whether a failed attempt may be followed by another, and charges the
 // budget if it is allowed and not free.
-func (b *Budget) Decide(a Try) Verdict {
+func (b *Budget) Decide(a Attempt) Decision {
 	switch {
-	case !a.NotRun && !a.Repeatable:
-		return VerdictMayHaveRun
-	case a.BodyGone:
-		return VerdictBodyGone
-	case a.Expired:
-		return VerdictDeadline
-	case a.Suspect:
-		return VerdictSuspect
+	case !a.NotRun && !a.Idempotent:
+		return DecisionMayHaveRun
+	case a.BodyConsumed:
+		return DecisionBodyConsumed
+	case a.DeadlinePassed:
+		return DecisionDeadlinePassed
+	case a.SuspectedCrash:
+		return DecisionSuspectedCrash
 	case a.Final:
-		return VerdictFinal
-	case a.Home, a.Unsent && a.Number < maxUnsent:
-		return VerdictAgain
-	case a.Number >= cmp.Or(a.MaxTries, b.cfg.MaxTries):
-		return VerdictTries
+		return DecisionFinal
+	case a.HomeFallback, a.Unsent && a.Number < maxUnsent:
+		return DecisionRetry
+	case a.Number >= cmp.Or(a.MaxAttempts, b.cfg.MaxAttempts):
+		return DecisionMaxAttempts
 	case !b.spendCredit():
-		return VerdictBudget
+		return DecisionBudgetSpent
 	}
-	return VerdictAgain
+	return DecisionRetry
 }
 
 func (b *Budget) spendCredit() bool {
--- a/coordination/retry/retry_test.go
+++ b/coordination/retry/retry_test.go
@@ -13,20 +13,20 @@
 
 func TestDecisions(t *testing.T) {
 	cases := map[string]struct {
-		attempt retry.Try
-		want    retry.Verdict
+		attempt retry.Attempt
+		want    retry.Decision
 	}{
-		"shed":                    {retry.Try{Number: 1, NotRun: true}, retry.VerdictAgain},
-		"broken, repeatable":      {retry.Try{Number: 1, Repeatable: true}, retry.VerdictAgain},
-		"broken, not repeatable":  {retry.Try{Number: 1}, retry.VerdictMayHaveRun},
-		"body sent":               {retry.Try{Number: 1, NotRun: true, BodyGone: true}, retry.VerdictBodyGone},
-		"deadline passed":         {retry.Try{Number: 1, NotRun: true, Expired: true}, retry.VerdictDeadline},
-		"third attempt":           {retry.Try{Number: 3, NotRun: true}, retry.VerdictTries},
-		"home after a refusal":    {retry.Try{Number: 3, NotRun: true, Home: true}, retry.VerdictAgain},
-		"home, may have run":      {retry.Try{Number: 1, Home: true}, retry.VerdictMayHaveRun},
-		"nothing sent":            {retry.Try{Number: 3, NotRun: true, Unsent: true}, retry.VerdictAgain},
-		"nothing sent four times": {retry.Try{Number: 4, NotRun: true, Unsent: true}, retry.VerdictTries},
-		"no free slot in time":    {retry.Try{Number: 1, NotRun: true, Final: true}, retry.VerdictFinal},
+		"shed":                    {retry.Attempt{Number: 1, NotRun: true}, retry.DecisionRetry},
+		"broken, repeatable":      {retry.Attempt{Number: 1, Idempotent: true}, retry.DecisionRetry},
+		"broken, not repeatable":  {retry.Attempt{Number: 1}, retry.DecisionMayHaveRun},
+		"body sent":               {retry.Attempt{Number: 1, NotRun: true, BodyConsumed: true}, retry.DecisionBodyConsumed},
+		"deadline passed":         {retry.Attempt{Number: 1, NotRun: true, DeadlinePassed: true}, retry.DecisionDeadlinePassed},
+		"third attempt":           {retry.Attempt{Number: 3, NotRun: true}, retry.DecisionMaxAttempts},
+		"home after a refusal":    {retry.Attempt{Number: 3, NotRun: true, HomeFallback: true}, retry.DecisionRetry},
+		"home, may have run":      {retry.Attempt{Number: 1, HomeFallback: true}, retry.DecisionMayHaveRun},
+		"nothing sent":            {retry.Attempt{Number: 3, NotRun: true, Unsent: true}, retry.DecisionRetry},
+		"nothing sent four times": {retry.Attempt{Number: 4, NotRun: true, Unsent: true}, retry.DecisionMaxAttempts},
+		"no free slot in time":    {retry.Attempt{Number: 1, NotRun: true, Final: true}, retry.DecisionFinal},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -45,10 +45,10 @@
 		first, again := 0, 0
 		for range rapid.IntRange(1, 500).Draw(t, "events") {
 			if rapid.Bool().Draw(t, "first") {
-				b.First()
+				b.RecordFirst()
 				first++
 			}
-			if b.Decide(retry.Try{Number: 1, NotRun: true}).Again() {
+			if b.Decide(retry.Attempt{Number: 1, NotRun: true}).Allowed() {
 				again++
 			}
 			if again > first/10+burst {
--- a/internal/daemon/config.go
+++ b/internal/daemon/config.go
@@ -65,7 +65,7 @@
 	// NoSpill keeps requests from other VMs of the hall.
 	NoSpill bool
 	// Choice says how a worker is chosen.
-	Choice capacity.Choice
+	Choice capacity.SelectionPolicy
 
 	Log logr.Logger
 	// DialPeer, DialUpstream and DialPlatform open connections.
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -60,7 +60,7 @@
 	members   *membership.Table
 	steerer   *steer.Steerer
 	pools     *capacity.Pools
-	holder    *capacity.Holder
+	holder    *capacity.GrantHolder
 	links     *link.Budget
 	attempts  *attempt.Table
 	decisions *decision.Log
@@ -105,8 +105,8 @@
 		self:      peer.Identity{Fleet: cfg.Fleet, Hall: cfg.Hall, VM: cfg.VM, Start: uint64(start.UnixMicro())},
 		store:     spread.New(),
 		steerer:   steer.New(steer.Config{Hall: cfg.Hall}),
-		pools:     capacity.NewPools(capacity.Config{Now: now, Choice: cfg.Choice, LeastHeadroom: spec.DefaultLeastHeadroom}),
-		holder:    capacity.NewHolder(now),
+		pools:     capacity.NewPools(capacity.Config{Now: now, Policy: cfg.Choice, MinHeadroom: spec.DefaultLeastHeadroom}),
+		holder:    capacity.NewGrantHolder(now),
 		links:     link.New(link.Config{Now: now}),
 		decisions: decision.New(decision.Config{}),
 		meter:     load.NewMeter(now),
--- a/internal/daemon/grants.go
+++ b/internal/daemon/grants.go
@@ -38,14 +38,14 @@
 			d.want(wanted, s)
 		}
 	}
-	d.holder.Forget(keep)
+	d.holder.RemoveIdle(keep)
 	for hall, slots := range wanted {
 		d.borrow(ctx, hall, slots)
 	}
 }
 
 func (d *Daemon) want(wanted map[string]map[string]uint32, s capacity.Source) {
-	n := d.holder.Want(s)
+	n := d.holder.SlotsToRequest(s)
 	if n == 0 {
 		return
 	}
@@ -106,9 +106,9 @@
 		if g.GetSlots() == 0 || slots[service] == 0 {
 			continue
 		}
-		d.holder.Put(capacity.Source{Service: service, Hall: hall}, capacity.Held{
+		d.holder.AddGrant(capacity.Source{Service: service, Hall: hall}, capacity.HeldGrant{
 			Lender: vm, ID: g.GetId(), Slots: int(g.GetSlots()),
-			Ends: asked.Add(time.Duration(g.GetTermMillis()) * time.Millisecond),
+			ExpiresAt: asked.Add(time.Duration(g.GetTermMillis()) * time.Millisecond),
 		})
 	}
 }
--- a/internal/daemon/pools.go
+++ b/internal/daemon/pools.go
@@ -58,7 +58,7 @@
 		others[name] = rest
 		pool := d.pools.Get(name)
 		pool.SetHeadroom(v.Fleet().Headroom())
-		grown = grown || len(mine) > len(pool.Owned())
+		grown = grown || len(mine) > len(pool.OwnedWorkers())
 		pool.SetWorkers(mine)
 	}
 	d.owner.Store(&others)
@@ -141,7 +141,7 @@
 	free := make(chan struct{}, pollsAtOnce)
 	for _, service := range d.view.Load().Services() {
 		pool := d.pools.Get(service)
-		for _, w := range pool.Owned() {
+		for _, w := range pool.OwnedWorkers() {
 			free <- struct{}{}
 			wg.Go(func() {
 				defer func() { <-free }()
@@ -164,7 +164,7 @@
 	var l workerLoad
 	status, err := d.ask(ctx, w.Address, "/load", &l)
 	if err != nil || status != http.StatusOK {
-		pool.Unreachable(w.ID)
+		pool.RecordUnreachable(w.ID)
 		return
 	}
 	var health struct {
@@ -173,7 +173,7 @@
 	status, err = d.ask(ctx, w.Address, "/health", &health)
 	if err != nil || (status != http.StatusOK && !health.Leaving) {
 		// Unhealthy for no stated cause: no work until it recovers.
-		pool.Unreachable(w.ID)
+		pool.RecordUnreachable(w.ID)
 		return
 	}
 	pool.Report(w.ID, capacity.Report{
--- a/internal/experiment/limits.go
+++ b/internal/experiment/limits.go
@@ -165,13 +165,13 @@
 	m.asked++
 	m.waited += way
 	m.after(way/2, func() {
-		g := m.issuer.Issue(ratelimit.Demand{Life: "w", PerS: m.perS, Live: m.vms, Listed: m.vms, Requests: 1})
+		g := m.issuer.Issue(ratelimit.Demand{Instance: "w", RatePerSecond: m.perS, LiveVMs: m.vms, ListedVMs: m.vms, Requests: 1})
 		m.after(way/2, func() {
 			if g.Requests > 0 {
 				m.runs(vm)
 				return
 			}
-			m.empty[vm] = m.now.Add(min(g.Wait, limitEmpty))
+			m.empty[vm] = m.now.Add(min(g.RetryAfter, limitEmpty))
 		})
 	})
 }
--- a/internal/experiment/load.go
+++ b/internal/experiment/load.go
@@ -52,7 +52,7 @@
 	for _, times := range []float64{1, 2, 4} {
 		for _, unlimited := range []bool{false, true} {
 			f, err := fleet.Start(small(fleet.ServicePlan{Name: service, Workers: 8, Slots: slots, Time: took}), fleet.Options{
-				WarmStart: true, Daemon: func(c *daemon.Config) { c.Retry = retry.Config{Unlimited: unlimited, MaxTries: 10} },
+				WarmStart: true, Daemon: func(c *daemon.Config) { c.Retry = retry.Config{Unlimited: unlimited, MaxAttempts: 10} },
 			})
 			if err != nil {
 				return err
@@ -78,7 +78,7 @@
 	const rounds, d = 3, 3 * time.Second
 	choices := []struct {
 		name string
-		how  capacity.Choice
+		how  capacity.SelectionPolicy
 	}{
 		{"least loaded", capacity.LeastLoaded{}},
 		{"two choices", capacity.TwoChoices{}},
--- a/internal/gateway/balance.go
+++ b/internal/gateway/balance.go
@@ -134,15 +134,15 @@
 	if b.own == 0 || b.table.Epoch() != b.own {
 		b.own = uint64(now.UnixMicro())
 		b.table.Begin(b.own)
-		b.decider.Restart()
+		b.decider.Reset()
 		g.log.Info("balance: this VM decides which workers hold keys", "epoch", b.own, "keys", b.table.Len())
 	}
-	b.decider.Add(report)
+	b.decider.AddReport(report)
 	if now.Sub(b.decided) < balanceInterval {
 		return
 	}
 	b.decided = now
-	if moved := b.decider.Decide(g.placer.Fleet(s)); moved > 0 {
+	if moved := b.decider.Rebalance(g.placer.Fleet(s)); moved > 0 {
 		g.cfg.Metrics.KeysMoved(moved)
 		g.log.Info("balance: keys moved from pressed workers", "keys", moved, "version", b.table.Version(), "entries", b.table.Len())
 	}
--- a/internal/gateway/compile.go
+++ b/internal/gateway/compile.go
@@ -113,7 +113,7 @@
 	g.snapshot.Store(s)
 	g.compiledConfig.Store(config)
 	g.loads.Keep(s.Workers.Living)
-	g.permits.issuer.Forget(s.Workers.Living)
+	g.permits.issuer.Retain(s.Workers.Living)
 	if g.life.Current() == phaseStarting {
 		g.enter("serve")
 	}
--- a/internal/gateway/export_test.go
+++ b/internal/gateway/export_test.go
@@ -183,7 +183,7 @@
 }
 
 // Lenders returns how many VMs lend this one their parts of quotas.
-func (g *Gateway) Lenders() int { return g.quotas.pool.Lenders() }
+func (g *Gateway) Lenders() int { return g.quotas.pool.LenderCount() }
 
 // ListedVMs is listedVMs, for tests.
 func (g *Gateway) ListedVMs() int { return g.listedVMs() }
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -94,7 +94,7 @@
 	peerSide  net.Listener
 	pulling   sync.Mutex
 	away      absence
-	judge     *outlier.Judge
+	judge     *outlier.Detector
 	watchers  *watchers
 	neighbors *neighbors
 	knowledge *knowledge
--- a/internal/gateway/outliers.go
+++ b/internal/gateway/outliers.go
@@ -19,8 +19,8 @@
 // up what all VMs of the region saw.
 func (g *Gateway) takeOutcomes() map[string]worker.Outcomes {
 	outcomes := g.loads.TakeOutcomes(maxOutcomes)
-	g.judge.Add(outcomes)
-	spared := g.judge.Spared()
+	g.judge.AddOutcomes(outcomes)
+	spared := g.judge.Ejected()
 	g.tellSpared(spared)
 	g.spare(spared)
 	g.relayed.takeOutcomes(outcomes)
@@ -62,7 +62,7 @@
 	for id, o := range told {
 		outcomes[id] = worker.Outcomes{Answered: o.GetAnswered(), Failed: o.GetFailed()}
 	}
-	g.judge.Add(outcomes)
+	g.judge.AddOutcomes(outcomes)
 	g.relayed.addOutcomes(outcomes)
 }
 
@@ -77,7 +77,7 @@
 // sparedMillis returns the workers that this VM, or the one that it asks, finds to
 // fail too much.
 func (g *Gateway) sparedMillis() map[string]uint32 {
-	spared := g.judge.Spared()
+	spared := g.judge.Ejected()
 	g.relayed.addSpared(spared, clock.Now())
 	out := make(map[string]uint32, len(spared))
 	for id, left := range spared {
--- a/internal/gateway/permits.go
+++ b/internal/gateway/permits.go
@@ -71,11 +71,11 @@
 		wait = noIssuerWait
 	case vm == p.gateway.cfg.VM:
 		grant := p.issue(w, perS, priority, 1)
-		wait, ok = grant.Wait, grant.Requests > 0
+		wait, ok = grant.RetryAfter, grant.Requests > 0
 	default:
 		ctx, cancel := context.WithTimeout(context.Background(), permitWait)
 		defer cancel()
-		wait, ok = p.borrower(issuerKey{vm, priority}).Take(ctx, w.Life())
+		wait, ok = p.borrower(issuerKey{vm, priority}).TakeToken(ctx, w.Life())
 	}
 	result := permitDenied
 	if ok {
@@ -109,10 +109,10 @@
 func (p *permits) issue(w *worker.Worker, perS float64, priority, wanted int) ratelimit.Grant {
 	live, listed := p.gateway.Live(w.Region)
 	if vm, found := p.issuerOf(w); listed == 0 || !found || vm != p.gateway.cfg.VM {
-		return ratelimit.Grant{Wait: noIssuerWait}
+		return ratelimit.Grant{RetryAfter: noIssuerWait}
 	}
 	return p.issuer.Issue(ratelimit.Demand{
-		Life: w.Life(), PerS: perS, Live: len(live), Listed: listed, Priority: priority, Requests: wanted,
+		Instance: w.Life(), RatePerSecond: perS, LiveVMs: len(live), ListedVMs: listed, Priority: priority, Requests: wanted,
 	})
 }
 
@@ -126,7 +126,7 @@
 			clear(p.borrowers)
 		}
 		b = ratelimit.NewBorrower(ratelimit.BorrowerConfig{
-			Ask: func(want ratelimit.Want) (ratelimit.Granted, error) { return p.ask(key, want) }, Window: permitWindow, Now: clock.Now,
+			QueryPool: func(want ratelimit.RequestCounts) (ratelimit.Grants, error) { return p.ask(key, want) }, Window: permitWindow, Now: clock.Now,
 		})
 		p.borrowers[key] = b
 	}
@@ -134,7 +134,7 @@
 }
 
 // ask asks another VM for requests to workers, by their lives.
-func (p *permits) ask(key issuerKey, want ratelimit.Want) (ratelimit.Granted, error) {
+func (p *permits) ask(key issuerKey, want ratelimit.RequestCounts) (ratelimit.Grants, error) {
 	g := p.gateway
 	m, known := g.members.Member(key.vm)
 	if !known {
@@ -160,18 +160,18 @@
 		return nil, err
 	}
 	g.hearSignals(m.ID, answer.GetSignals())
-	granted := make(ratelimit.Granted, len(want))
+	granted := make(ratelimit.Grants, len(want))
 	for i, life := range demand.GetLives() {
 		granted[life] = ratelimit.Grant{
-			Requests: int(answer.GetGranted()[i]),
-			Wait:     min(time.Duration(answer.GetWaitMillis()[i])*time.Millisecond, permitWindow),
+			Requests:   int(answer.GetGranted()[i]),
+			RetryAfter: min(time.Duration(answer.GetWaitMillis()[i])*time.Millisecond, permitWindow),
 		}
 	}
 	return granted, nil
 }
 
 // toldLimits returns what is known of the limits of some workers.
-func (p *permits) toldLimits(want ratelimit.Want) map[string]*peerpb.WorkerSignals {
+func (p *permits) toldLimits(want ratelimit.RequestCounts) map[string]*peerpb.WorkerSignals {
 	now, limited := clock.Now(), p.gateway.loads.Limited()
 	told := make(map[string]*peerpb.WorkerSignals, len(want))
 	for life := range want {
@@ -188,12 +188,12 @@
 	g.hearSignals(from, demand.GetSignals())
 	lives, wanted := demand.GetLives(), demand.GetWanted()
 	lives = lives[:min(len(lives), len(wanted), maxPermitLives)]
-	answer, want := &peerpb.Permits{}, make(ratelimit.Want, len(lives))
+	answer, want := &peerpb.Permits{}, make(ratelimit.RequestCounts, len(lives))
 	for i, life := range lives {
 		n := int(min(wanted[i], maxPermitsWanted))
 		grant := p.issueLife(life, int(min(demand.GetPriority(), maxPriority)), n)
 		answer.Granted = append(answer.Granted, uint32(grant.Requests))
-		answer.WaitMillis = append(answer.WaitMillis, uint32(grant.Wait.Milliseconds()))
+		answer.WaitMillis = append(answer.WaitMillis, uint32(grant.RetryAfter.Milliseconds()))
 		want[life] = n
 	}
 	answer.Signals = p.toldLimits(want)
@@ -208,11 +208,11 @@
 func (p *permits) issueLife(life string, priority, wanted int) ratelimit.Grant {
 	s := p.gateway.snapshot.Load()
 	if s == nil {
-		return ratelimit.Grant{Wait: noIssuerWait}
+		return ratelimit.Grant{RetryAfter: noIssuerWait}
 	}
 	w, ok := s.Workers.Life(life)
 	if !ok {
-		return ratelimit.Grant{Wait: noIssuerWait}
+		return ratelimit.Grant{RetryAfter: noIssuerWait}
 	}
 	perS, limited := p.gateway.loads.RateLimit(w)
 	if !limited {
--- a/internal/gateway/quota.go
+++ b/internal/gateway/quota.go
@@ -24,7 +24,7 @@
 
 const (
 	// loanInterval is the time between two renewals of a loan: two may be lost.
-	loanInterval = ratelimit.LoanFor / 3
+	loanInterval = ratelimit.LoanDuration / 3
 	// loanLook is the time between two tries while nobody has this VM's parts: the first
 	// question to a pool only brings its clock.
 	loanLook = 50 * time.Millisecond
@@ -45,7 +45,7 @@
 // quotas bounds what workspaces have run: by this VM's own parts, then by the pool of
 // its region.
 type quotas struct {
-	own      *ratelimit.Own
+	own      *ratelimit.LocalLimiter
 	pool     *ratelimit.Pool
 	lender   *ratelimit.Lender
 	borrower *ratelimit.Borrower
@@ -58,10 +58,10 @@
 func newQuotas(g *Gateway) *quotas {
 	bounds := g.cfg.Bounds.Quota
 	return &quotas{
-		own:      ratelimit.NewOwn(ratelimit.Config{Bounds: bounds, VMs: g.listedVMs, Now: clock.Now}),
+		own:      ratelimit.NewLocalLimiter(ratelimit.Config{Bounds: bounds, VMs: g.listedVMs, Now: clock.Now}),
 		pool:     ratelimit.NewPool(bounds, clock.Now),
 		lender:   ratelimit.NewLender(clock.Now),
-		borrower: ratelimit.NewBorrower(ratelimit.BorrowerConfig{Ask: g.askPool, Window: bounds.Window, Now: clock.Now}),
+		borrower: ratelimit.NewBorrower(ratelimit.BorrowerConfig{QueryPool: g.askPool, Window: bounds.Window, Now: clock.Now}),
 		avoided:  newAvoided(),
 	}
 }
@@ -95,14 +95,14 @@
 	if vms == 0 {
 		return ingress.Admission{Verdict: ingress.AdmissionUnknown}
 	}
-	if g.quotas.own.Take(w.Name(), limit) {
+	if g.quotas.own.TakeToken(w.Name(), limit) {
 		return ingress.Admission{Verdict: ingress.AdmissionPassed, Refund: func() { g.quotas.own.Refund(w.Name()) }}
 	}
-	wait, ok := g.quotas.borrower.Take(ctx, w.Name())
+	wait, ok := g.quotas.borrower.TakeToken(ctx, w.Name())
 	if ok {
 		return ingress.Admission{Verdict: ingress.AdmissionPassed}
 	}
-	pool, lent := g.quotas.lender.Holds()
+	pool, lent := g.quotas.lender.CurrentPool()
 	why := fmt.Sprintf("limit %.0f a second and %.0f at once, divided among %d VMs; own part used up, nothing left at the pool %s (it has this VM's part: %t)",
 		limit.Rate, limit.Burst, vms, pool, lent)
 	return ingress.Admission{
@@ -124,7 +124,7 @@
 func (g *Gateway) quotaLoop(ctx context.Context) {
 	for ctx.Err() == nil {
 		wait := loanInterval
-		if _, lent := g.quotas.lender.Holds(); !lent {
+		if _, lent := g.quotas.lender.CurrentPool(); !lent {
 			wait = loanLook
 		}
 		sleep(ctx, wait)
@@ -142,13 +142,13 @@
 // to have them: it stops, or is not the first choice any more. One that does not
 // answer keeps them until the loan ends.
 func (g *Gateway) takeBack() {
-	holder, lent := g.quotas.lender.Holds()
+	holder, lent := g.quotas.lender.CurrentPool()
 	if !lent || holder == g.poolVM(clock.Now()).ID {
 		return
 	}
 	if holder == g.cfg.VM {
-		g.quotas.pool.Lend(ratelimit.Loan{VM: g.cfg.VM})
-		g.quotas.lender.Returned(holder)
+		g.quotas.pool.AddLoan(ratelimit.Loan{VM: g.cfg.VM})
+		g.quotas.lender.LoanReturned(holder)
 		return
 	}
 	m, known := g.members.Member(holder)
@@ -159,14 +159,14 @@
 		g.log.V(1).Info("quota: parts not given back", "peer", holder, "error", err.Error())
 		return
 	}
-	g.quotas.lender.Returned(holder)
+	g.quotas.lender.LoanReturned(holder)
 }
 
 // askPool lends this VM's parts to the pool of its region and asks it for requests.
-func (g *Gateway) askPool(want ratelimit.Want) (ratelimit.Granted, error) {
+func (g *Gateway) askPool(want ratelimit.RequestCounts) (ratelimit.Grants, error) {
 	now := clock.Now()
 	m := g.poolVM(now)
-	start, until, offered := g.quotas.lender.Offer(m.ID)
+	start, until, offered := g.quotas.lender.OfferLoan(m.ID)
 	if m.ID == g.cfg.VM {
 		return g.ownPool(want, until, offered), nil
 	}
@@ -187,11 +187,11 @@
 		g.log.Info("quota: the pool does not answer", "peer", m.ID, "error", err.Error())
 		return nil, err
 	}
-	g.quotas.lender.Answered(m.ID, answer.GetStart(), time.Duration(answer.GetClockMillis())*time.Millisecond)
-	granted := make(ratelimit.Granted, len(want))
+	g.quotas.lender.ObserveClock(m.ID, answer.GetStart(), time.Duration(answer.GetClockMillis())*time.Millisecond)
+	granted := make(ratelimit.Grants, len(want))
 	for i, name := range message.GetWorkspaces()[:min(len(message.GetWorkspaces()), len(answer.GetGranted()), len(answer.GetWaitMillis()))] {
 		granted[name] = ratelimit.Grant{
-			Requests: int(answer.GetGranted()[i]), Wait: time.Duration(answer.GetWaitMillis()[i]) * time.Millisecond,
+			Requests: int(answer.GetGranted()[i]), RetryAfter: time.Duration(answer.GetWaitMillis()[i]) * time.Millisecond,
 		}
 	}
 	return granted, nil
@@ -214,12 +214,12 @@
 }
 
 // ownPool serves this VM's own question as the pool.
-func (g *Gateway) ownPool(want ratelimit.Want, until time.Duration, offered bool) ratelimit.Granted {
+func (g *Gateway) ownPool(want ratelimit.RequestCounts, until time.Duration, offered bool) ratelimit.Grants {
 	if offered {
-		g.quotas.pool.Lend(ratelimit.Loan{VM: g.cfg.VM, VMs: g.listedVMs(), Until: g.started.Add(until)})
+		g.quotas.pool.AddLoan(ratelimit.Loan{VM: g.cfg.VM, VMs: g.listedVMs(), Until: g.started.Add(until)})
 	}
-	g.quotas.lender.Answered(g.cfg.VM, g.self.Start, clock.Since(g.started))
-	granted := make(ratelimit.Granted, len(want))
+	g.quotas.lender.ObserveClock(g.cfg.VM, g.self.Start, clock.Since(g.started))
+	granted := make(ratelimit.Grants, len(want))
 	for name, n := range want {
 		granted[name] = g.grant(name, n)
 	}
@@ -230,10 +230,10 @@
 func (g *Gateway) grant(name string, n int) ratelimit.Grant {
 	if s := g.snapshot.Load(); s != nil {
 		if w, ok := s.Routes.Workspaces().Named(name); ok {
-			return g.quotas.pool.Take(name, w.Limit(), n)
+			return g.quotas.pool.TakeTokens(name, w.Limit(), n)
 		}
 	}
-	return ratelimit.Grant{Wait: g.cfg.Bounds.Quota.Window}
+	return ratelimit.Grant{RetryAfter: g.cfg.Bounds.Quota.Window}
 }
 
 // allowed answers a VM that takes this one for the pool.
@@ -241,17 +241,17 @@
 	switch {
 	case ask.GetVms() == 0:
 	case ask.GetUntilMillis() == 0:
-		g.quotas.pool.Lend(ratelimit.Loan{VM: from})
+		g.quotas.pool.AddLoan(ratelimit.Loan{VM: from})
 	case ask.GetStart() == g.self.Start:
 		until := g.started.Add(time.Duration(min(ask.GetUntilMillis(), maxClockMillis)) * time.Millisecond)
-		g.quotas.pool.Lend(ratelimit.Loan{VM: from, VMs: int(ask.GetVms()), Until: until})
+		g.quotas.pool.AddLoan(ratelimit.Loan{VM: from, VMs: int(ask.GetVms()), Until: until})
 	}
 	answer := &peerpb.Allowed{Start: g.self.Start}
 	workspaces, wanted := ask.GetWorkspaces(), ask.GetWanted()
 	for i, name := range workspaces[:min(len(workspaces), len(wanted), maxAllowed)] {
 		grant := g.grant(name, int(min(wanted[i], maxWanted)))
 		answer.Granted = append(answer.Granted, uint32(grant.Requests))
-		answer.WaitMillis = append(answer.WaitMillis, uint32(grant.Wait.Milliseconds()))
+		answer.WaitMillis = append(answer.WaitMillis, uint32(grant.RetryAfter.Milliseconds()))
 	}
 	answer.ClockMillis = uint64(clock.Since(g.started).Milliseconds())
 	return answer
--- a/transport/ingress/answer.go
+++ b/transport/ingress/answer.go
@@ -129,7 +129,7 @@
 }
 
 // fail answers a request whose last try failed.
-func (q *request) fail(ctx context.Context, f *failure, verdict retry.Verdict) {
+func (q *request) fail(ctx context.Context, f *failure, verdict retry.Decision) {
 	switch {
 	case q.in.Context().Err() != nil:
 		q.abort(reasonLeft)
--- a/transport/ingress/ingress.go
+++ b/transport/ingress/ingress.go
@@ -292,7 +292,7 @@
 	defer q.leaveQuota()
 	ctx, cancel := context.WithTimeout(q.in.Context(), q.left())
 	defer cancel()
-	q.handler.budget(q.service).First()
+	q.handler.budget(q.service).RecordFirst()
 	q.run(ctx)
 	q.handler.cfg.Metrics.Took(q.service, q.since(q.arrived))
 }
--- a/transport/ingress/try.go
+++ b/transport/ingress/try.go
@@ -78,7 +78,7 @@
 		}
 		verdict := q.decide(ctx, failed, number)
 		q.note("another try", string(verdict))
-		if !verdict.Again() {
+		if !verdict.Allowed() {
 			q.fail(ctx, failed, verdict)
 			return
 		}
@@ -102,10 +102,10 @@
 	}
 }
 
-func (q *request) decide(ctx context.Context, f *failure, number int) retry.Verdict {
-	verdict := q.handler.budget(q.service).Decide(retry.Try{
-		Number: number, MaxTries: q.route.MaxAttempts, Cause: f.cause, NotRun: f.notRun, Unsent: f.unsent,
-		Repeatable: q.route.Repeatable, BodyGone: q.body.gone, Expired: ctx.Err() != nil || q.left() <= 0, Suspect: q.suspect(f),
+func (q *request) decide(ctx context.Context, f *failure, number int) retry.Decision {
+	verdict := q.handler.budget(q.service).Decide(retry.Attempt{
+		Number: number, MaxAttempts: q.route.MaxAttempts, Cause: f.cause, NotRun: f.notRun, Unsent: f.unsent,
+		Idempotent: q.route.Repeatable, BodyConsumed: q.body.gone, DeadlinePassed: ctx.Err() != nil || q.left() <= 0, SuspectedCrash: q.suspect(f),
 	})
 	q.handler.cfg.Metrics.Retry(string(f.cause), string(verdict))
 	return verdict
@@ -191,7 +191,7 @@
 	if refusal != placement.RefusalNone {
 		return nil
 	}
-	if !q.decide(ctx, &failure{cause: retry.CauseBroken}, number).Again() {
+	if !q.decide(ctx, &failure{cause: retry.CauseBroken}, number).Allowed() {
 		q.withdraw()
 		choice.Load().End()
 		return nil
--- a/transport/relay/engine.go
+++ b/transport/relay/engine.go
@@ -50,7 +50,7 @@
 	Members   *membership.Table
 	Steerer   *steer.Steerer
 	Pools     *capacity.Pools
-	Holder    *capacity.Holder
+	Holder    *capacity.GrantHolder
 	Links     *link.Budget
 	Upstreams *upstream.Client
 	Peers     *peer.Manager
@@ -185,7 +185,7 @@
 // run steers a request and tries it until it is answered, or another try is
 // not allowed.
 func (e *Engine) run(ctx context.Context, r *Request, sink Sink) served {
-	e.cfg.Budget.First()
+	e.cfg.Budget.RecordFirst()
 	v := e.cfg.View()
 	candidate := e.cfg.Steerer.Evaluate(v, r.Service, r.Client)
 	d := decision.Record{
@@ -216,10 +216,10 @@
 func (e *Engine) again(ctx context.Context, r *Request, last route, res result, number int, d *decision.Record) route {
 	_, moved := last.(hallRoute)
 	spilled := res.cause == retry.CauseRefused && !moved
-	verdict := e.cfg.Budget.Decide(retry.Try{
+	verdict := e.cfg.Budget.Decide(retry.Attempt{
 		Number: number, Cause: res.cause, NotRun: res.notRun(),
-		Repeatable: !r.once, BodyGone: r.Body.Gone(), Home: moved || spilled,
-		Expired: r.expired(ctx, time.Now()), Final: res.cause == retry.CauseFull,
+		Idempotent: !r.once, BodyConsumed: r.Body.Gone(), HomeFallback: moved || spilled,
+		DeadlinePassed: r.expired(ctx, time.Now()), Final: res.cause == retry.CauseFull,
 	})
 	e.cfg.Metrics.Retry(string(res.cause), string(verdict))
 	d.Inputs = append(d.Inputs, decision.Input{Name: "another try", Value: string(verdict)})
@@ -228,7 +228,7 @@
 			return next
 		}
 	}
-	if !verdict.Again() {
+	if !verdict.Allowed() {
 		return nil
 	}
 	if spilled {
--- a/transport/relay/remote.go
+++ b/transport/relay/remote.go
@@ -39,7 +39,7 @@
 	if to.refund != nil {
 		to.refund()
 	}
-	e.cfg.Holder.Drop(capacity.Source{Service: r.Service, Hall: to.hall}, grant.Lender)
+	e.cfg.Holder.ExpireGrants(capacity.Source{Service: r.Service, Hall: to.hall}, grant.Lender)
 	return res
 }
 
--- a/transport/relay/route.go
+++ b/transport/relay/route.go
@@ -30,7 +30,7 @@
 // hallRoute runs it in another hall under a grant.
 type hallRoute struct {
 	hall string
-	use  *capacity.Use
+	use  *capacity.GrantUse
 	// refund gives back what the move was charged, or is nil.
 	refund func()
 }
@@ -57,7 +57,7 @@
 		decision.Input{Name: "move " + c.Move().ID, Value: fmt.Sprintf("share %s, cap %s", c.Move().Share, c.Move().Cap)},
 		decision.Input{Name: "counted at this VM", Value: fmt.Sprintf("%d requests, %d moved", total, moved)},
 	)
-	use := e.cfg.Holder.Take(capacity.Source{Service: r.Service, Hall: c.Target()})
+	use := e.cfg.Holder.AcquireSlot(capacity.Source{Service: r.Service, Hall: c.Target()})
 	switch {
 	case use == nil:
 		rule = steer.RuleNoGrant
@@ -81,7 +81,7 @@
 // slot that was wanted in vain is asked for at the next renewal of grants.
 func (e *Engine) failover(r *Request, d *decision.Record) (route, bool) {
 	for _, hall := range e.cfg.View().Nearest(e.cfg.Self.Hall, r.Service) {
-		use := e.cfg.Holder.Take(capacity.Source{Service: r.Service, Hall: hall})
+		use := e.cfg.Holder.AcquireSlot(capacity.Source{Service: r.Service, Hall: hall})
 		if use == nil {
 			continue
 		}
@@ -96,9 +96,9 @@
 	return nil, false
 }
 
-func grantInput(g capacity.Held) decision.Input {
+func grantInput(g capacity.HeldGrant) decision.Input {
 	return decision.Input{
 		Name:  "grant",
-		Value: fmt.Sprintf("%d slots from VM %s, %s left", g.Slots, g.Lender, time.Until(g.Ends).Round(time.Millisecond)),
+		Value: fmt.Sprintf("%d slots from VM %s, %s left", g.Slots, g.Lender, time.Until(g.ExpiresAt).Round(time.Millisecond)),
 	}
 }
--- a/transport/relay/serve.go
+++ b/transport/relay/serve.go
@@ -112,7 +112,7 @@
 	case open.GetGrant() != 0:
 		slot, err = pool.Redeem(open.GetGrant())
 	case from.Hall != e.cfg.Self.Hall:
-		err = errors.Wrap(capacity.ErrGrant, "requests from other halls need one")
+		err = errors.Wrap(capacity.ErrUnknownGrant, "requests from other halls need one")
 	case open.GetWait():
 		wait, cancel := context.WithTimeout(ctx, min(e.cfg.QueueTime, openTimeout(open)))
 		defer cancel()
