--- a/scripts/switch-off.sh
+++ b/scripts/switch-off.sh
@@ -44,7 +44,7 @@
   fi
   git checkout -q -- .
 }
-off cap-credit state/quota/quota.go 'if a.credit < price {' 'if a.credit < 0 {' ./state/quota TestCapHolds
+off cap-credit state/quota/quota.go 'if b.tokens < requestCost {' 'if b.tokens < 0 {' ./state/quota TestCapHolds
 off common-cap coordination/steer/steer.go 'caps: s.arriveCaps(v, service, hall)}' 'caps: s.arriveCaps(v, service, hall)[:0]}' ./coordination/steer TestCommonCapBinds
 off step-share coordination/steer/steer.go 'a := s.account("move/"+m.ID, effective)' 'a := s.account("move/"+m.ID, m.Cap)' ./coordination/steer TestShareIsNotPassed
 off caps-bind-balance coordination/placement/steer.go 'if !within || !c.SpendCaps() {' 'if false && (!within || !c.SpendCaps()) {' ./coordination/placement TestCapsBindTheBalance
--- a/state/quarantine/fingerprint.go
+++ b/state/quarantine/fingerprint.go
@@ -14,33 +14,32 @@
 // FingerprintSize is the length of a Fingerprint in bytes.
 const FingerprintSize = 16
 
-// ErrFingerprint reports text that is no fingerprint.
+// ErrFingerprint reports a malformed fingerprint.
 var ErrFingerprint = errors.New("quarantine: want a fingerprint of 32 hexadecimal digits")
 
-// Fingerprint tells requests apart by what a worker gets of them, but for what
-// differs from attempt to attempt. It is a part of a SHA-256, so that nobody can make
-// a request of their own that is taken for somebody else's.
+// Fingerprint identifies requests that are the same to a worker, ignoring what differs
+// between attempts. It is a truncated SHA-256, so that nobody can craft a request
+// that is mistaken for another one.
 type Fingerprint [FingerprintSize]byte
 
-// Identity is what makes two requests the same one.
+// Identity holds the parts of a request that its fingerprint covers.
 type Identity struct {
 	Method, Host, Target string
-	// Credential is what shows whose request it is, "" for nothing.
+	// Credential identifies the caller, "" if there is none.
 	Credential string
-	// Body is the body, or its start if it is longer than what is held of it, and
-	// Length the whole length in bytes, -1 if that is unknown.
+	// Body is the body, or its buffered prefix if the body is longer. Length is the
+	// full length in bytes, -1 if unknown.
 	Body   []byte
 	Length int64
 }
 
-// FingerprintOf returns the fingerprint of a request. A body costs under 1 ms a megabyte
-// (BenchmarkFingerprint).
+// FingerprintOf returns the fingerprint of a request.
 func FingerprintOf(id Identity) Fingerprint {
 	hash := sha256.New()
 	var length [8]byte
 	for _, part := range []string{id.Method, id.Host, id.Target, id.Credential} {
 		binary.BigEndian.PutUint64(length[:], uint64(len(part)))
-		_, _ = hash.Write(length[:]) // A hash takes all.
+		_, _ = hash.Write(length[:]) // never fails
 		_, _ = hash.Write([]byte(part))
 	}
 	binary.BigEndian.PutUint64(length[:], uint64(id.Length))
@@ -52,7 +51,7 @@
 // String returns the fingerprint in hexadecimal.
 func (f Fingerprint) String() string { return hex.EncodeToString(f[:]) }
 
-// ParseFingerprint reads what String returns. It returns ErrFingerprint for anything
+// ParseFingerprint reads the output of String. It returns ErrFingerprint for anything
 // else.
 func ParseFingerprint(text string) (Fingerprint, error) {
 	raw, err := hex.DecodeString(text)
@@ -62,8 +61,8 @@
 	return Fingerprint(raw), nil
 }
 
-// FingerprintFrom reads a fingerprint from its bytes. It returns ErrFingerprint for
-// another number of them.
+// FingerprintFrom converts raw bytes to a fingerprint. It returns ErrFingerprint if
+// their number is not FingerprintSize.
 func FingerprintFrom(raw []byte) (Fingerprint, error) {
 	if len(raw) != FingerprintSize {
 		return Fingerprint{}, errors.Wrapf(ErrFingerprint, "%d bytes", len(raw))
--- a/state/quarantine/quarantine.go
+++ b/state/quarantine/quarantine.go
@@ -1,18 +1,18 @@
 // Copyright 2026 The ryehill Authors
 // SPDX-License-Identifier: Apache-2.0
 
-// Package quarantine holds the requests that workers must not get, since they end the
-// process of each worker that begins to run them.
+// Package quarantine holds requests that must not be sent to workers because they
+// crash every worker that runs them.
 //
-// A request is known again by its Fingerprint: method, host, target, credential and
-// body. Another body to the same path, or another caller's request, is another one.
-// An Entry says under which workers' ends a request was found and until when it is
-// held. After that one more end is enough for it to be held again, for longer.
+// A request is recognized by its Fingerprint: method, host, target, credential and
+// body. A different body, or the same request of another caller, counts as a different
+// request. An Entry names workers that the request crashed and the time until which it
+// is quarantined. After that, a single further crash quarantines it again, for longer.
 //
 // # Usage
 //
 //	table := quarantine.NewTable()
-//	table.Hear(entry)
+//	table.Merge(entry)
 //	if entry, held := table.Find(target, fingerprint, time.Now()); held { /* do not send it */ }
 package quarantine
 
@@ -25,72 +25,73 @@
 	"github.com/cockroachdb/errors"
 )
 
-// ErrEntry reports an entry that cannot be read.
+// ErrEntry reports a malformed entry.
 var ErrEntry = errors.New("quarantine: malformed entry")
 
 const (
-	// firstTerm is for how long a request is held at first. Each further time it is
-	// held termGrowth times as long, up to longestTerm: a worker that bears it may be
-	// there by then, and each time costs one worker.
-	firstTerm   = 10 * time.Minute
+	// initialTerm is how long a request is quarantined the first time. Each further
+	// time the term is multiplied by termGrowth, up to maxTerm: a fixed worker may be
+	// deployed by then, and every new attempt costs a worker.
+	initialTerm = 10 * time.Minute
 	termGrowth  = 6
-	longestTerm = 24 * time.Hour
-	// remembered is for how long after its term a request is remembered.
-	remembered = 24 * time.Hour
-	// maxWorkers bounds the workers that an entry names, and maxText the length in
-	// bytes of each of its texts.
+	maxTerm     = 24 * time.Hour
+	// retention is how long an entry is kept after its term has ended.
+	retention = 24 * time.Hour
+	// maxWorkers bounds the workers listed in an entry, and maxText the length of each
+	// of its texts in bytes.
 	maxWorkers = 8
 	maxText    = 256
 )
 
-// Entry is a request that workers must not get. Its methods do not change it.
+// Entry is a quarantined request. Its methods do not modify it.
 type Entry struct {
 	Fingerprint Fingerprint
-	// Target is TargetOf the request. Most requests are told apart by it alone.
+	// Target is the HashTarget of the request, checked before the fingerprint is
+	// computed.
 	Target uint64
-	// Subject is the request as shown to operators: method, host and path.
+	// Subject describes the request to operators: method, host and path.
 	Subject string
 	Service string
-	// Workers are some of those that ended under it.
+	// Workers lists some of the workers that crashed.
 	Workers []string
 	Since   time.Time
 	Until   time.Time
-	// Times is how often it was held, this time included.
+	// Times counts how often the request was quarantined, including this time.
 	Times int
 }
 
-// TargetOf returns a hash of where a request is sent.
+// TargetOf returns a hash of the host and the request target.
 func TargetOf(host, target string) uint64 { return xxhash.Sum64String(host + "\x00" + target) }
 
-// Renewed returns the entry as it is if the request has ended another worker, or, for
-// an entry that was never held, as it is the first time.
+// Renewed returns the entry with its next term, starting now. For an entry that was
+// never quarantined this is the first term.
 func (e Entry) Renewed(now time.Time) Entry {
 	e.Times++
-	term := firstTerm
+	term := initialTerm
 	for range e.Times - 1 {
-		term = min(term*termGrowth, longestTerm)
+		term = min(term*termGrowth, maxTerm)
 	}
 	e.Since, e.Until = now.Truncate(time.Millisecond), now.Add(term).Truncate(time.Millisecond)
 	e.Workers = slices.Clone(e.Workers[max(0, len(e.Workers)-maxWorkers):])
-	e.Subject, e.Service = cut(e.Subject), cut(e.Service)
+	e.Subject, e.Service = truncate(e.Subject), truncate(e.Service)
 	return e
 }
 
-func cut(text string) string { return text[:min(len(text), maxText)] }
+func truncate(text string) string { return text[:min(len(text), maxText)] }
 
-// Holds reports whether workers must not get the request now.
+// Holds reports whether the request is quarantined now.
 func (e Entry) Holds(now time.Time) bool { return now.Before(e.Until) }
 
-// Forgotten reports whether the entry is of no more use.
-func (e Entry) Forgotten(now time.Time) bool { return now.After(e.Until.Add(remembered)) }
+// Forgotten reports whether the entry can be deleted.
+func (e Entry) Forgotten(now time.Time) bool { return now.After(e.Until.Add(retention)) }
 
-// newer reports whether the entry was made later than another one of the request.
-func (e Entry) newer(than Entry) bool {
-	return e.Times > than.Times || e.Times == than.Times && e.Until.After(than.Until)
+// supersedes reports whether the entry is a later one of the same request than other.
+func (e Entry) supersedes(other Entry) bool {
+	return e.Times > other.Times || e.Times == other.Times && e.Until.After(other.Until)
 }
 
-// kept is the form in which an entry is kept and sent.
-type kept struct {
+// entryJSON is the stored and transmitted form of an Entry.
+type entryJSON struct {
 	Fingerprint string   `json:"fingerprint"`
 	Target      uint64   `json:"target"`
 	Subject     string   `json:"subject"`
@@ -104,7 +105,7 @@
 // MarshalJSON implements json.Marshaler.
 func (e Entry) MarshalJSON() ([]byte, error) { return e.Encode() }
 
-// UnmarshalJSON implements json.Unmarshaler. It returns ErrEntry for what is no entry.
+// UnmarshalJSON implements json.Unmarshaler. It returns ErrEntry for malformed input.
 func (e *Entry) UnmarshalJSON(raw []byte) error {
 	var err error
 	*e, err = Decode(raw)
@@ -113,31 +114,31 @@
 
 // Encode returns the entry as JSON.
 func (e Entry) Encode() ([]byte, error) {
-	return json.Marshal(kept{
+	return json.Marshal(entryJSON{
 		Fingerprint: e.Fingerprint.String(), Target: e.Target, Subject: e.Subject, Service: e.Service, Workers: e.Workers,
 		SinceMillis: e.Since.UnixMilli(), UntilMillis: e.Until.UnixMilli(), Times: e.Times,
 	})
 }
 
-// Decode reads what Encode returns. It returns ErrEntry for anything else.
+// Decode reads the output of Encode. It returns ErrEntry for anything else.
 func Decode(raw []byte) (Entry, error) {
-	var k kept
-	if err := json.Unmarshal(raw, &k); err != nil {
+	var decoded entryJSON
+	if err := json.Unmarshal(raw, &decoded); err != nil {
 		return Entry{}, errors.Mark(errors.Wrap(err, "quarantine: entry"), ErrEntry)
 	}
-	f, err := ParseFingerprint(k.Fingerprint)
+	f, err := ParseFingerprint(decoded.Fingerprint)
 	if err != nil {
 		return Entry{}, errors.Mark(err, ErrEntry)
 	}
-	since, until := time.UnixMilli(k.SinceMillis), time.UnixMilli(k.UntilMillis)
+	since, until := time.UnixMilli(decoded.SinceMillis), time.UnixMilli(decoded.UntilMillis)
 	switch {
-	case k.Times < 1, until.Before(since), until.Sub(since) > longestTerm:
-		return Entry{}, errors.Wrapf(ErrEntry, "held %d times, from %d to %d", k.Times, k.SinceMillis, k.UntilMillis)
-	case len(k.Subject) > maxText, len(k.Service) > maxText, len(k.Workers) > maxWorkers:
+	case decoded.Times < 1, until.Before(since), until.Sub(since) > maxTerm:
+		return Entry{}, errors.Wrapf(ErrEntry, "quarantined %d times, from %d to %d", decoded.Times, decoded.SinceMillis, decoded.UntilMillis)
+	case len(decoded.Subject) > maxText, len(decoded.Service) > maxText, len(decoded.Workers) > maxWorkers:
 		return Entry{}, errors.Wrap(ErrEntry, "too long")
 	}
 	return Entry{
-		Fingerprint: f, Target: k.Target, Subject: k.Subject, Service: k.Service, Workers: k.Workers,
-		Since: since, Until: until, Times: k.Times,
+		Fingerprint: f, Target: decoded.Target, Subject: decoded.Subject, Service: decoded.Service, Workers: decoded.Workers,
+		Since: since, Until: until, Times: decoded.Times,
 	}, nil
 }
--- a/state/quarantine/table.go
+++ b/state/quarantine/table.go
@@ -10,17 +10,16 @@
 	"time"
 )
 
-// MaxEntries bounds the requests that a table holds, and so those that are kept.
+// MaxEntries bounds the entries of a table, and so those that are stored.
 const MaxEntries = 1024
 
-// Table is the requests that one VM knows to end workers. It is safe for concurrent
-// use.
+// Table holds the quarantine entries known to one VM. It is safe for concurrent use.
 type Table struct {
 	mu      sync.RWMutex
 	entries map[Fingerprint]Entry
-	// targets counts the entries of each target.
+	// targets counts the entries by target hash.
 	targets map[uint64]int
-	// stored are those that the store is known to keep, as it has them.
+	// stored holds the entries as they were last seen in the store.
 	stored map[Fingerprint]Entry
 }
 
@@ -29,8 +28,8 @@
 	return &Table{entries: make(map[Fingerprint]Entry), targets: make(map[uint64]int), stored: make(map[Fingerprint]Entry)}
 }
 
-// Find returns the entry that holds a request now. The fingerprint is asked for only
-// if there is an entry of the target.
+// Find returns the entry under which a request is quarantined now. It computes the
+// fingerprint only if there is an entry with the same target hash.
 func (t *Table) Find(target uint64, fingerprint func() Fingerprint, now time.Time) (Entry, bool) {
 	t.mu.RLock()
 	defer t.mu.RUnlock()
@@ -41,7 +40,7 @@
 	return e, ok && e.Holds(now)
 }
 
-// Get returns the entry of a fingerprint, whether it holds the request now or not.
+// Get returns the entry of a fingerprint, whether its term has ended or not.
 func (t *Table) Get(f Fingerprint) (Entry, bool) {
 	t.mu.RLock()
 	defer t.mu.RUnlock()
@@ -49,39 +48,41 @@
 	return e, ok
 }
 
-// Hear takes in an entry and reports whether it is newer than what was known. A full
-// table gives up the entry that was held the fewest times and ends first.
+// Hear adds an entry and reports whether it was newer than the known one. A full
+// table evicts the entry with the lowest count, and of those the first to end.
 func (t *Table) Hear(e Entry) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return t.hear(e)
+	return t.merge(e)
 }
 
-func (t *Table) hear(e Entry) bool {
-	if known, ok := t.entries[e.Fingerprint]; ok && !e.newer(known) {
+func (t *Table) merge(e Entry) bool {
+	if known, ok := t.entries[e.Fingerprint]; ok && !e.supersedes(known) {
 		return false
 	}
-	t.drop(e.Fingerprint)
+	t.remove(e.Fingerprint)
 	if len(t.entries) >= MaxEntries {
-		t.drop(slices.MinFunc(t.list(), mildest).Fingerprint)
+		t.remove(slices.MinFunc(t.list(), compareSeverity).Fingerprint)
 	}
 	t.entries[e.Fingerprint] = e
 	t.targets[e.Target]++
 	return true
 }
 
-// mildest orders entries by how little is lost if they are forgotten.
-func mildest(a, b Entry) int { return cmp.Or(cmp.Compare(a.Times, b.Times), a.Until.Compare(b.Until)) }
+// compareSeverity orders entries by count and end, the first to be evicted first.
+func compareSeverity(a, b Entry) int {
+	return cmp.Or(cmp.Compare(a.Times, b.Times), a.Until.Compare(b.Until))
+}
 
-// Release forgets an entry, and reports whether there was one.
+// Release deletes an entry and reports whether there was one.
 func (t *Table) Release(f Fingerprint) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	delete(t.stored, f)
-	return t.drop(f)
+	return t.remove(f)
 }
 
-func (t *Table) drop(f Fingerprint) bool {
+func (t *Table) remove(f Fingerprint) bool {
 	e, ok := t.entries[f]
 	if !ok {
 		return false
@@ -93,42 +94,43 @@
 	return true
 }
 
-// SetStored takes in all entries that the store keeps. One that it kept before and
-// does not keep any more was released.
+// SetStored replaces the set of stored entries and merges them. An entry that was in
+// the store and is there no longer has been released, and is deleted.
 func (t *Table) SetStored(entries []Entry) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	stored := make(map[Fingerprint]Entry, len(entries))
 	for _, e := range entries {
 		stored[e.Fingerprint] = e
-		t.hear(e)
+		t.merge(e)
 	}
 	for f := range t.stored {
 		if _, still := stored[f]; !still {
-			t.drop(f)
+			t.remove(f)
 		}
 	}
 	t.stored = stored
 }
 
-// Unstored returns the entries that the store is not known to keep.
+// Unstored returns the entries that are not yet in the store, or only in an older
+// version.
 func (t *Table) Unstored() []Entry {
 	t.mu.RLock()
 	defer t.mu.RUnlock()
 	return slices.DeleteFunc(t.list(), func(e Entry) bool {
-		kept, ok := t.stored[e.Fingerprint]
-		return ok && !e.newer(kept)
+		saved, ok := t.stored[e.Fingerprint]
+		return ok && !e.supersedes(saved)
 	})
 }
 
-// Len returns how many entries there are.
+// Len returns the number of entries.
 func (t *Table) Len() int {
 	t.mu.RLock()
 	defer t.mu.RUnlock()
 	return len(t.entries)
 }
 
-// All returns the entries, those that were held last first.
+// All returns the entries, the most recently quarantined first.
 func (t *Table) All() []Entry {
 	t.mu.RLock()
 	defer t.mu.RUnlock()
--- a/state/quarantine/table_test.go
+++ b/state/quarantine/table_test.go
@@ -14,7 +14,7 @@
 	"github.com/ryehill/ryehill/state/quarantine"
 )
 
-func entry(name string, times int, since time.Time) quarantine.Entry {
+func newEntry(name string, times int, since time.Time) quarantine.Entry {
 	e := quarantine.Entry{
 		Fingerprint: quarantine.FingerprintOf(quarantine.Identity{Target: name}), Target: quarantine.TargetOf("h", name),
 		Subject: "GET h" + name, Service: "s", Workers: []string{"w1", "w2", "w3"}, Times: times - 1,
@@ -25,49 +25,49 @@
 func TestTable(t *testing.T) {
 	now := time.Now()
 	Convey("A table", t, func() {
-		table, e := quarantine.NewTable(), entry("/bad", 1, now)
+		table, e := quarantine.NewTable(), newEntry("/bad", 1, now)
 		find := func(at time.Time) bool {
 			_, held := table.Find(e.Target, func() quarantine.Fingerprint { return e.Fingerprint }, at)
 			return held
 		}
 		So(table.Hear(e), ShouldBeTrue)
-		Convey("holds a request until its term is over, and remembers it", func() {
+		Convey("quarantines a request until its term ends, and keeps the entry", func() {
 			So(find(now), ShouldBeTrue)
 			So(find(e.Until), ShouldBeFalse)
 			_, known := table.Get(e.Fingerprint)
 			So(known, ShouldBeTrue)
 		})
-		Convey("asks for no fingerprint of a request to another target", func() {
-			_, held := table.Find(e.Target+1, func() quarantine.Fingerprint { panic("asked") }, now)
+		Convey("computes no fingerprint for a request to another target", func() {
+			_, held := table.Find(e.Target+1, func() quarantine.Fingerprint { panic("fingerprint computed") }, now)
 			So(held, ShouldBeFalse)
 		})
-		Convey("takes what comes late, or again, for what it is", func() {
+		Convey("accepts a renewed entry and ignores older ones", func() {
 			again := e.Renewed(e.Until)
 			So(table.Hear(again), ShouldBeTrue)
 			So(table.Hear(e), ShouldBeFalse)
 			So(find(again.Since), ShouldBeTrue)
 			So(table.Len(), ShouldEqual, 1)
 		})
-		Convey("knows what the store lacks", func() {
+		Convey("lists entries missing from the store", func() {
 			So(table.Unstored(), ShouldHaveLength, 1)
 			table.SetStored([]quarantine.Entry{e})
 			So(table.Unstored(), ShouldBeEmpty)
 			table.Hear(e.Renewed(e.Until))
 			So(table.Unstored(), ShouldHaveLength, 1)
 		})
-		Convey("forgets what the store kept and keeps no more", func() {
-			heard := entry("/heard", 1, now)
-			table.Hear(heard)
+		Convey("deletes entries that were removed from the store", func() {
+			unsaved := newEntry("/heard", 1, now)
+			table.Hear(unsaved)
 			table.SetStored([]quarantine.Entry{e})
 			table.SetStored(nil)
 			So(find(now), ShouldBeFalse)
-			_, known := table.Get(heard.Fingerprint)
+			_, known := table.Get(unsaved.Fingerprint)
 			So(known, ShouldBeTrue)
 		})
-		Convey("is bounded, and keeps what was held most often", func() {
+		Convey("is bounded, and evicts entries with the lowest count first", func() {
 			table.Hear(e.Renewed(e.Until))
 			for i := range 2 * quarantine.MaxEntries {
-				table.Hear(entry(fmt.Sprint("/", i), 1, now.Add(time.Duration(i)*time.Millisecond)))
+				table.Hear(newEntry(fmt.Sprint("/", i), 1, now.Add(time.Duration(i)*time.Millisecond)))
 			}
 			So(table.Len(), ShouldEqual, quarantine.MaxEntries)
 			_, known := table.Get(e.Fingerprint)
@@ -76,37 +76,37 @@
 	})
 }
 
-func TestEntryCanBeReadBack(t *testing.T) {
-	e := entry("/bad", 2, time.Now())
+func TestEntryRoundTrip(t *testing.T) {
+	e := newEntry("/bad", 2, time.Now())
 	raw, err := e.Encode()
 	if err != nil {
 		t.Fatal(err)
 	}
-	read, err := quarantine.Decode(raw)
-	if err != nil || !read.Since.Equal(e.Since) || !read.Until.Equal(e.Until) || read.Fingerprint != e.Fingerprint || read.Times != e.Times {
-		t.Errorf("%+v %v, want %+v", read, err, e)
+	decoded, err := quarantine.Decode(raw)
+	if err != nil || !decoded.Since.Equal(e.Since) || !decoded.Until.Equal(e.Until) || decoded.Fingerprint != e.Fingerprint || decoded.Times != e.Times {
+		t.Errorf("%+v %v, want %+v", decoded, err, e)
 	}
 }
 
-func TestFaultyEntries(t *testing.T) {
-	whole := `{"fingerprint":"` + strings.Repeat("ab", 16) + `","times":1,"sinceMs":5,"untilMs":9}`
-	if _, err := quarantine.Decode([]byte(whole)); err != nil {
+func TestDecodeRejectsMalformedEntries(t *testing.T) {
+	valid := `{"fingerprint":"` + strings.Repeat("ab", 16) + `","times":1,"sinceMs":5,"untilMs":9}`
+	if _, err := quarantine.Decode([]byte(valid)); err != nil {
 		t.Fatal(err)
 	}
 	cases := map[string]string{
-		"no JSON":        "\x00\xff",
-		"nothing":        "",
-		"a list":         "[]",
-		"no fingerprint": `{"times":1}`,
-		"never held":     strings.Replace(whole, `"times":1`, `"times":0`, 1),
-		"ends early":     strings.Replace(whole, `"untilMs":9`, `"untilMs":1`, 1),
-		"held too long":  strings.Replace(whole, `"untilMs":9`, `"untilMs":9000000000`, 1),
-		"long subject":   strings.Replace(whole, `"times"`, `"subject":"`+strings.Repeat("x", 70_000)+`","times"`, 1),
-		"other types":    strings.Replace(whole, `"times":1`, `"times":"1"`, 1),
+		"not JSON":              "\x00\xff",
+		"nothing":               "",
+		"a list":                "[]",
+		"no fingerprint":        `{"times":1}`,
+		"count of zero":         strings.Replace(valid, `"times":1`, `"times":0`, 1),
+		"ends before it begins": strings.Replace(valid, `"untilMs":9`, `"untilMs":1`, 1),
+		"term too long":         strings.Replace(valid, `"untilMs":9`, `"untilMs":9000000000`, 1),
+		"long subject":          strings.Replace(valid, `"times"`, `"subject":"`+strings.Repeat("x", 70_000)+`","times"`, 1),
+		"wrong types":           strings.Replace(valid, `"times":1`, `"times":"1"`, 1),
 	}
 	for name, raw := range cases {
 		if _, err := quarantine.Decode([]byte(raw)); err == nil {
-			t.Errorf("%s: taken", name)
+			t.Errorf("%s: accepted", name)
 		}
 	}
 }
--- a/state/quota/quota.go
+++ b/state/quota/quota.go
@@ -1,22 +1,25 @@
 // Copyright 2026 The ryehill Authors
 // SPDX-License-Identifier: Apache-2.0
 
-// Package quota counts moved requests against the cap of a move.
+// Package quota limits the fraction of requests that a VM moves elsewhere with a
+// token bucket per cap.
 //
-// An account gains the cap's fraction for every request that arrives and pays
-// one whole request for every request that is moved. It starts empty and never
-// holds more than Burst requests and a fraction. From this follow two facts that
-// hold at each VM with no message to any other, and so for the sum of any set
-// of VMs, whatever of them is paused, cut off or restarted:
+// A bucket gains the cap's fraction of one request for every request that arrives
+// and pays one whole request for every request that is moved. It starts empty and
+// never holds more than Burst requests plus one arrival's fraction. Each VM therefore
+// keeps two bounds without talking to any other VM:
 //
 //   - after n requests, at most floor(cap * n) were moved;
 //   - among any n consecutive requests, at most cap * n + Burst were moved.
 //
+// The first bound therefore also holds for the sum of any set of VMs, even when some
+// of them are paused, partitioned or restarted.
+//
 // # Usage
 //
-//	a := quota.New(10 * share.Percent)
-//	a.Arrive()
-//	if quota.Spend(a, total) { /* move the request */ }
+//	b := quota.New(10 * share.Percent)
+//	b.AddRequest()
+//	if quota.TakeAll(b, total) { /* move the request */ }
 package quota
 
 import (
@@ -25,109 +28,110 @@
 	"github.com/ryehill/ryehill/state/share"
 )
 
-// Burst is how many requests an account can move back to back after a quiet
-// time, beyond its cap's fraction of those that arrive meanwhile.
+// Burst is how many requests can be moved back to back after an idle period, on top
+// of the cap's fraction of the requests that arrive meanwhile.
 const Burst = 3
 
-const price = uint64(share.Whole)
+const requestCost = uint64(share.Whole)
 
-// Account holds the credit of one cap at one VM.
+// Account is the token bucket of one cap at one VM.
 // It is safe for concurrent use.
 type Account struct {
 	mu     sync.Mutex
 	limit  share.PPM
-	credit uint64
+	tokens uint64
 	total  uint64
 	moved  uint64
 }
 
-// New returns an empty account for a cap.
+// New returns an empty bucket for a cap.
 func New(limit share.PPM) *Account { return &Account{limit: limit} }
 
-// Arrive counts one request to which the cap applies, moved or not.
-func (a *Account) Arrive() {
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	a.total++
-	a.credit = min(a.credit+uint64(a.limit), price*Burst+uint64(a.limit))
+// Arrive counts one request to which the cap applies, moved or not, and adds the
+// cap's fraction to the bucket.
+func (b *Account) Arrive() {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	b.total++
+	b.tokens = min(b.tokens+uint64(b.limit), requestCost*Burst+uint64(b.limit))
 }
 
-// SetLimit changes the cap. Credit earned under a higher cap is given up, so
-// that lowering a cap holds from the next request on.
-func (a *Account) SetLimit(limit share.PPM) {
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	if limit < a.limit {
-		a.credit = 0
+// SetLimit changes the cap. Lowering it empties the bucket, so that the new cap
+// holds from the next request on.
+func (b *Account) SetLimit(limit share.PPM) {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	if limit < b.limit {
+		b.tokens = 0
 	}
-	a.limit = limit
+	b.limit = limit
 }
 
 // Counts returns how many requests arrived and how many of them were moved.
-func (a *Account) Counts() (total, moved uint64) {
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	return a.total, a.moved
+func (b *Account) Counts() (total, moved uint64) {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	return b.total, b.moved
 }
 
 // Limit returns the cap.
-func (a *Account) Limit() share.PPM {
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	return a.limit
+func (b *Account) Limit() share.PPM {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	return b.limit
 }
 
-func (a *Account) spend() bool {
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	if a.credit < price {
+func (b *Account) tryTake() bool {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	if b.tokens < requestCost {
 		return false
 	}
-	a.credit -= price
-	a.moved++
+	b.tokens -= requestCost
+	b.moved++
 	return true
 }
 
-// spare reports whether the account is nearly full, so that credit would soon be
-// wasted: it holds more than all but one of the requests that it can hold.
-func (a *Account) spare() bool {
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	return a.credit > price*(Burst-1)
+// nearlyFull reports whether the bucket holds more than Burst-1 requests, so that
+// further tokens would soon be discarded.
+func (b *Account) nearlyFull() bool {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	return b.tokens > requestCost*(Burst-1)
 }
 
-func (a *Account) giveBack() {
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	a.credit = min(a.credit+price, price*Burst+uint64(a.limit))
-	a.moved--
+func (b *Account) refund() {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	b.tokens = min(b.tokens+requestCost, requestCost*Burst+uint64(b.limit))
+	b.moved--
 }
 
-// Spend pays for one moved request from every account, or from none.
-// It reports whether all could pay.
-func Spend(accounts ...*Account) bool {
-	for i, a := range accounts {
-		if a.spend() {
+// Spend takes the tokens of one moved request from every bucket, or from none.
+// It reports whether all buckets had enough.
+func Spend(buckets ...*Account) bool {
+	for i, b := range buckets {
+		if b.tryTake() {
 			continue
 		}
-		for _, paid := range accounts[:i] {
-			paid.giveBack()
+		for _, paid := range buckets[:i] {
+			paid.refund()
 		}
 		return false
 	}
 	return true
 }
 
-// SpendSpare is like Spend, but pays only if the first account is nearly full. It is for requests that may fill up a share without
-// taking credit from those that belong to it.
+// SpendSpare is like TakeAll, but takes tokens only if the first bucket is nearly
+// full. It lets other requests use up surplus tokens without displacing the
+// requests that the cap is meant for.
 func SpendSpare(first *Account, others ...*Account) bool {
-	return first.spare() && Spend(append([]*Account{first}, others...)...)
+	return first.nearlyFull() && Spend(append([]*Account{first}, others...)...)
 }
 
-// Refund returns the price of a request that was paid for but, as is known for
-// certain, was not moved.
-func Refund(accounts ...*Account) {
-	for _, a := range accounts {
-		a.giveBack()
+// Refund returns the tokens of a request that is known not to have been moved.
+func Refund(buckets ...*Account) {
+	for _, b := range buckets {
+		b.refund()
 	}
 }
--- a/state/quota/quota_test.go
+++ b/state/quota/quota_test.go
@@ -12,37 +12,36 @@
 	"github.com/ryehill/ryehill/state/share"
 )
 
-// vm is one of several VMs that share a cap and exchange no message.
+// vm is one of several VMs that share a cap without communicating.
 type vm struct {
-	account      *quota.Account
+	bucket       *quota.Account
 	total, moved uint64
 	history      []bool // whether each request was moved
 }
 
-// The cap holds for the sum of any VMs, at every moment and over every stretch
-// of requests, while VMs restart, pause, and run with different caps in force.
+// Guards against the sum of all VMs passing a cap while VMs restart or change their cap.
 func TestCapHoldsForAnySetOfVMs(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		limit := share.PPM(rapid.Uint32Range(0, uint32(share.Whole)).Draw(t, "cap"))
 		vms := make([]*vm, rapid.IntRange(1, 12).Draw(t, "vms"))
 		for i := range vms {
-			vms[i] = &vm{account: quota.New(limit)}
+			vms[i] = &vm{bucket: quota.New(limit)}
 		}
 		var total, moved uint64
 		for range rapid.IntRange(1, 400).Draw(t, "requests") {
 			v := vms[rapid.IntRange(0, len(vms)-1).Draw(t, "vm")]
 			switch rapid.IntRange(0, 30).Draw(t, "event") {
-			case 0: // Killed and started anew: the account is lost.
-				v.account = quota.New(limit)
-			case 1: // On an older generation with a lower cap for a while.
-				v.account.SetLimit(limit / 2)
-				v.account.SetLimit(limit)
+			case 0: // The VM restarts with an empty bucket.
+				v.bucket = quota.New(limit)
+			case 1: // The VM runs with a lower cap for a while.
+				v.bucket.SetLimit(limit / 2)
+				v.bucket.SetLimit(limit)
 			}
-			v.account.Arrive()
-			took := rapid.Bool().Draw(t, "wanted") && quota.Spend(v.account)
+			v.bucket.Arrive()
+			took := rapid.Bool().Draw(t, "wanted") && quota.Spend(v.bucket)
 			total++
 			if took && rapid.IntRange(0, 9).Draw(t, "returned") == 0 {
-				quota.Refund(v.account)
+				quota.Refund(v.bucket)
 				took = false
 			}
 			if took {
@@ -56,12 +55,12 @@
 			}
 		}
 		for _, v := range vms {
-			checkStretches(t, v.history, limit)
+			checkWindows(t, v.history, limit)
 		}
 	})
 }
 
-func checkStretches(t *rapid.T, history []bool, limit share.PPM) {
+func checkWindows(t *rapid.T, history []bool, limit share.PPM) {
 	for from := range history {
 		moved := uint64(0)
 		for to := from; to < len(history); to++ {
@@ -75,15 +74,15 @@
 	}
 }
 
-// Two moves from one hall under a common cap never pass it together.
+// Guards against two moves out of one hall passing their common cap together.
 func TestCommonCapHoldsForTwoMoves(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		common := share.PPM(rapid.Uint32Range(0, 500_000).Draw(t, "common"))
 		first, second, both := quota.New(share.Whole), quota.New(300_000), quota.New(common)
 		total, moved := uint64(0), uint64(0)
 		for range rapid.IntRange(1, 300).Draw(t, "requests") {
-			for _, a := range []*quota.Account{first, second, both} {
-				a.Arrive()
+			for _, b := range []*quota.Account{first, second, both} {
+				b.Arrive()
 			}
 			total++
 			own := first
@@ -101,10 +100,10 @@
 }
 
 func TestThreeRequestsMoveNothingUnderTenPercent(t *testing.T) {
-	a := quota.New(10 * share.Percent)
+	b := quota.New(10 * share.Percent)
 	for range 3 {
-		a.Arrive()
-		if quota.Spend(a) {
+		b.Arrive()
+		if quota.Spend(b) {
 			t.Fatal("a request was moved")
 		}
 	}
--- a/state/rollout/report.go
+++ b/state/rollout/report.go
@@ -3,13 +3,13 @@
 
 package rollout
 
-// Tally counts the requests of one kind that have ended at workers.
+// Tally counts finished requests.
 type Tally struct {
 	Ended  uint32 `json:"ended"`
 	Failed uint32 `json:"failed"`
-	// Slow is how many took several times as long as the old version does.
+	// Slow counts the requests that took longer than the old version's slow threshold.
 	Slow uint32 `json:"slow"`
-	// LogMillis sums the logarithms of the times that they took, in milliseconds.
+	// LogMillis is the sum of the logarithms of the latencies in milliseconds.
 	LogMillis float64 `json:"-"`
 }
 
@@ -21,44 +21,44 @@
 	t.LogMillis += other.LogMillis
 }
 
-// Since returns what came after an earlier state of the tally. VMs that have gone take
-// what they counted with them, so a count may be lower than it was; that is no news.
+// Since returns the increase over an earlier tally. Counts drop when VMs leave and
+// take theirs with them; a drop counts as no increase.
 func (t Tally) Since(earlier Tally) Tally {
-	news := Tally{}
+	delta := Tally{}
 	if t.Ended > earlier.Ended {
-		news.Ended = t.Ended - earlier.Ended
+		delta.Ended = t.Ended - earlier.Ended
 	}
 	if t.Failed > earlier.Failed {
-		news.Failed = min(t.Failed-earlier.Failed, news.Ended)
+		delta.Failed = min(t.Failed-earlier.Failed, delta.Ended)
 	}
 	if t.Slow > earlier.Slow {
-		news.Slow = min(t.Slow-earlier.Slow, news.Ended)
+		delta.Slow = min(t.Slow-earlier.Slow, delta.Ended)
 	}
-	return news
+	return delta
 }
 
-// Subject is what the answers of a new version are counted by.
+// Subject is what responses of a new version are counted by.
 type Subject struct {
 	Route string
-	// Worker is the life of a worker of the trial, "" for all others together.
+	// Worker identifies the incarnation of a canary worker, "" for all other workers.
 	Worker string
 }
 
-// Report is what VMs have seen of a roll-out since they heard of it. The zero value is
-// of no VM; NewReport returns one that can be added to.
+// Report is what one or several VMs have observed of a rollout since it began there.
+// The zero value covers no VM; NewReport returns one that reports can be merged into.
 type Report struct {
-	// VMs counts the VMs by the phase that they are in.
-	VMs [phases]int
-	// Old and New are the requests that ended at workers of either version.
+	// VMs counts the VMs by phase.
+	VMs [phaseCount]int
+	// Old and New count the finished requests of each version, Old by route.
 	Old map[string]Tally
 	New map[Subject]Tally
-	// UnderWayOld and UnderWayNew are the requests that workers of either version have.
+	// UnderWayOld and UnderWayNew count the requests in flight at workers of each version.
 	UnderWayOld, UnderWayNew int
-	// Keys are the keys of the requests that New counts.
+	// Keys estimates the distinct keys of the requests in New.
 	Keys Sketch
 }
 
-// NewReport returns a report of no VM.
+// NewReport returns an empty report.
 func NewReport() Report {
 	return Report{Old: make(map[string]Tally), New: make(map[Subject]Tally)}
 }
@@ -83,7 +83,7 @@
 	r.Keys.Join(other.Keys)
 }
 
-// InPhase returns how many VMs are in a phase or beyond it.
+// InPhase returns the number of VMs in phase p or a later one.
 func (r *Report) InPhase(p Phase) int {
 	n := 0
 	for _, vms := range r.VMs[p:] {
@@ -92,9 +92,9 @@
 	return n
 }
 
-// Furthest returns the greatest phase that any VM is in.
+// Furthest returns the latest phase of any VM.
 func (r *Report) Furthest() Phase {
-	for p := phases - 1; p > 0; p-- {
+	for p := phaseCount - 1; p > 0; p-- {
 		if r.VMs[p] > 0 {
 			return Phase(p)
 		}
@@ -102,7 +102,7 @@
 	return PhaseOrdered
 }
 
-// Sum adds up the tallies of the new version by route.
+// Sum returns the tallies of the new version, summed by route.
 func (r *Report) Sum() map[string]Tally {
 	sums := make(map[string]Tally)
 	for subject, t := range r.New {
--- a/state/rollout/rollout.go
+++ b/state/rollout/rollout.go
@@ -1,20 +1,18 @@
 // Copyright 2026 The ryehill Authors
 // SPDX-License-Identifier: Apache-2.0
 
-// Package rollout holds what is known of a new version of a service that is being
-// brought in: the order, how far it has come, and how the answers of the new version
-// compare with those of the old one.
+// Package rollout describes the rollout of a new version of a service: the order, its
+// phase, and measurements that compare the new version with the old one.
 //
-// An Order is what an operator has asked for, as the platform's store has it. A Phase is
-// how far it has come; phases only go forward, so that VMs which hear of them in any
-// order end at the same one. A Report is what one VM, or several together, have seen of
-// both versions.
+// An Order is the operator's request as stored by the platform. A Phase is the progress
+// of an order. Phases only advance, so that VMs which learn of them in any order agree in
+// the end. A Report holds what one or several VMs have observed of both versions.
 //
 // # Usage
 //
 //	sum := rollout.NewReport()
-//	for _, r := range reports { sum.Join(r) }
-//	fmt.Println(sum.Old["/pay/"].Failed, sum.InPhase(rollout.PhaseProved))
+//	for _, r := range reports { sum.Merge(r) }
+//	fmt.Println(sum.Old["/pay/"].Failed, sum.VMsAtLeast(rollout.PhaseProved))
 package rollout
 
 import (
@@ -25,13 +23,13 @@
 	"github.com/cockroachdb/errors"
 )
 
-// ErrVersion reports a text that is no version.
-var ErrVersion = errors.New("rollout: not a version")
+// ErrVersion reports a malformed version.
+var ErrVersion = errors.New("rollout: malformed version")
 
-// Version orders the versions of a service's software. 0 is an unknown one.
+// Version is the number of a software version of a service, 0 if unknown.
 type Version uint64
 
-// ParseVersion reads the number of a version such as "v12".
+// ParseVersion returns the number in a version such as "v12".
 func ParseVersion(text string) (Version, error) {
 	digits := strings.TrimLeft(text, "abcdefghijklmnopqrstuvwxyzABCDEFGHIJKLMNOPQRSTUVWXYZ")
 	number, err := strconv.ParseUint(digits, 10, 64)
@@ -41,30 +39,31 @@
 	return Version(number), nil
 }
 
-// Phase is how far an order has come. A later phase is a greater one.
+// Phase is the progress of an order. Later phases have greater values.
 type Phase uint8
 
-// Phases.
+// The phases, in the order in which they advance.
 const (
-	// PhaseOrdered is an order of which nothing has been done yet.
+	// PhaseOrdered is an order that has not been started.
 	PhaseOrdered Phase = iota
-	// PhaseTrial has a few workers of the new version serve a small part of the keys.
+	// PhaseTrial is the canary phase: a few workers of the new version serve a small
+	// fraction of the keys.
 	PhaseTrial
-	// PhaseShift has all workers of the new version serve all requests, as far as the
-	// share that a new version may have at most lasts.
+	// PhaseShift sends all requests to workers of the new version, as far as the
+	// maximum share of an unproved version allows.
 	PhaseShift
-	// PhaseProved has the new version serve everything; the old workers finish what
-	// they have.
+	// PhaseProved sends everything to the new version while the old workers finish
+	// their requests.
 	PhaseProved
-	// PhaseRolledBack is an order whose version was found to be bad.
+	// PhaseRolledBack is an order that ended because its version was found to be bad.
 	PhaseRolledBack
-	// PhaseCompleted is an order that is done. The old workers end.
+	// PhaseCompleted is an order that succeeded. The old workers shut down.
 	PhaseCompleted
 
-	phases = iota
+	phaseCount = iota
 )
 
-// String names the phase in logs.
+// String returns the name of the phase for logs.
 func (p Phase) String() string {
 	switch p {
 	case PhaseOrdered:
@@ -84,26 +83,26 @@
 	}
 }
 
-// Final reports whether nothing follows the phase.
+// Final reports whether no other phase follows.
 func (p Phase) Final() bool { return p >= PhaseRolledBack }
 
-// Valid reports whether there is such a phase.
-func (p Phase) Valid() bool { return p < phases }
+// Valid reports whether p is a known phase.
+func (p Phase) Valid() bool { return p < phaseCount }
 
-// Order asks for a new version of a service.
+// Order is a request to roll out a new version of a service.
 type Order struct {
 	Service string
 	Version Version
-	// Name is the version as the operator has written it.
+	// Name is the version as written by the operator.
 	Name string
-	// Duration is the time, from the order on, within which it is to be done.
+	// Duration is the time in which the rollout must finish, from the order on.
 	Duration time.Duration
-	// Phase is PhaseOrdered, PhaseTrial for any phase under way, or a final one, as
-	// the store has it.
+	// Phase is the stored phase: PhaseOrdered, PhaseTrial for any phase in progress, or
+	// a final phase.
 	Phase Phase
-	// Since is when the order was first seen by a VM that has said so in the store, by
-	// that VM's time of day; the zero time if none has.
+	// Since is when the first VM recorded the order in the store, by that VM's clock;
+	// the zero time if none has.
 	Since time.Time
-	// Revision is that of the store's entry.
+	// Revision is the revision of the store's entry.
 	Revision uint64
 }
--- a/state/rollout/rollout_test.go
+++ b/state/rollout/rollout_test.go
@@ -19,15 +19,15 @@
 		version rollout.Version
 		bad     bool
 	}{
-		"with a letter":    {text: "v2", version: 2},
-		"above nine":       {text: "v10", version: 10},
-		"bare":             {text: "7", version: 7},
-		"no number":        {text: "vx", bad: true},
-		"empty":            {text: "", bad: true},
-		"zero":             {text: "v0", bad: true},
-		"negative":         {text: "v-1", bad: true},
-		"behind a number":  {text: "v2-rc", bad: true},
-		"too large a word": {text: "v99999999999999999999", bad: true},
+		"with a letter":           {text: "v2", version: 2},
+		"above nine":              {text: "v10", version: 10},
+		"number only":             {text: "7", version: 7},
+		"no number":               {text: "vx", bad: true},
+		"empty":                   {text: "", bad: true},
+		"zero":                    {text: "v0", bad: true},
+		"negative":                {text: "v-1", bad: true},
+		"suffix after the number": {text: "v2-rc", bad: true},
+		"overflow":                {text: "v99999999999999999999", bad: true},
 	}
 	for name, c := range cases {
 		Convey(name, t, func() {
@@ -38,8 +38,8 @@
 	}
 }
 
-func TestReportsAddUp(t *testing.T) {
-	Convey("Reports of two VMs are one of both", t, func() {
+func TestReportsMerge(t *testing.T) {
+	Convey("Reports of two VMs are summed", t, func() {
 		a, b := rollout.NewReport(), rollout.NewReport()
 		canary := rollout.Subject{Route: "r", Worker: "w"}
 		a.VMs[rollout.PhaseTrial], b.VMs[rollout.PhaseShift] = 1, 1
@@ -53,7 +53,7 @@
 		So(a.InPhase(rollout.PhaseShift), ShouldEqual, 1)
 		So(a.Furthest(), ShouldEqual, rollout.PhaseShift)
 	})
-	Convey("What VMs that have gone had counted is no news", t, func() {
+	Convey("A lower count is no increase", t, func() {
 		So(rollout.Tally{Ended: 3}.Since(rollout.Tally{Ended: 5, Failed: 2}), ShouldResemble, rollout.Tally{})
 		So(rollout.Tally{Ended: 6, Failed: 4}.Since(rollout.Tally{Ended: 5, Failed: 1}), ShouldResemble, rollout.Tally{Ended: 1, Failed: 1})
 	})
@@ -61,7 +61,7 @@
 
 func TestSketchCountsKeysOnce(t *testing.T) {
 	for _, keys := range []int{0, 1, 50, 500, 2000} {
-		Convey(fmt.Sprintf("%d keys at two VMs are counted within a tenth", keys), t, func() {
+		Convey(fmt.Sprintf("%d keys at two VMs are estimated within 10 %%", keys), t, func() {
 			var a, b rollout.Sketch
 			for i := range keys {
 				hash := xxhash.Sum64String(fmt.Sprint(i))
@@ -74,7 +74,7 @@
 			So(a.Count(), ShouldAlmostEqual, float64(keys), 1+0.1*float64(keys))
 		})
 	}
-	Convey("Bytes of another length are no keys", t, func() {
+	Convey("Bytes of the wrong length give an empty sketch", t, func() {
 		So(rollout.SketchOf([]byte{1, 2}).Count(), ShouldEqual, 0)
 	})
 }
--- a/state/rollout/sketch.go
+++ b/state/rollout/sketch.go
@@ -15,9 +15,9 @@
 	wordBytes   = 8
 )
 
-// Sketch counts how many different keys were seen, by linear counting: each key sets one
-// of 1,024 bits, and the part of them that is still unset tells how many keys there were.
-// Sketches of several VMs are joined without counting a key twice.
+// Sketch estimates the number of distinct keys by linear counting: each key sets one of
+// 1,024 bits, and the fraction of unset bits gives the estimate. Sketches of several VMs
+// can be merged without counting a key twice.
 type Sketch [sketchWords]uint64
 
 // Add adds the hash of a key.
@@ -33,7 +33,7 @@
 	}
 }
 
-// Count returns about how many different keys were added. Above some 4,000 it is too low.
+// Count estimates the number of distinct keys. It is too low above some 4,000 keys.
 func (s Sketch) Count() float64 {
 	unset := 0
 	for _, word := range s {
@@ -42,7 +42,7 @@
 	return -sketchBits * math.Log(math.Max(float64(unset), 1)/sketchBits)
 }
 
-// Bytes returns the sketch as it is sent, nil for one without keys.
+// Bytes encodes the sketch, as nil if it has no keys.
 func (s Sketch) Bytes() []byte {
 	if s == (Sketch{}) {
 		return nil
@@ -54,7 +54,7 @@
 	return raw
 }
 
-// SketchOf reads what Bytes returns. Anything else is a sketch without keys.
+// SketchOf decodes the output of Bytes. Anything else gives a sketch without keys.
 func SketchOf(raw []byte) Sketch {
 	var s Sketch
 	if len(raw) != sketchWords*wordBytes {
--- a/state/share/share.go
+++ b/state/share/share.go
@@ -1,16 +1,16 @@
 // Copyright 2026 The ryehill Authors
 // SPDX-License-Identifier: Apache-2.0
 
-// Package share holds fractions of traffic as whole parts per million.
+// Package share represents fractions of traffic in parts per million.
 //
-// Whole numbers keep every sum exact: a cap of 10 % is 100,000 parts, and a
-// comparison against it never depends on rounding. Parsing refuses what cannot
-// be held exactly and arithmetic rounds down, so a limit is never overshot.
+// Integers keep sums and comparisons exact: 10 % is 100,000 parts. Parsing rejects
+// values that cannot be represented exactly, and scaling rounds down, so a limit is
+// never exceeded.
 //
 // # Usage
 //
 //	limit, err := share.Parse("12.5%")
-//	allowed := limit.Of(1000) // 125
+//	allowed := limit.Scale(1000) // 125
 package share
 
 import (
@@ -28,19 +28,19 @@
 type PPM uint32
 
 const (
-	// None is the empty share.
+	// None is no traffic.
 	None PPM = 0
-	// Whole is all of the traffic.
+	// Whole is all traffic.
 	Whole PPM = 1_000_000
-	// Percent is one part in a hundred.
+	// Percent is one percent.
 	Percent PPM = 10_000
 )
 
-// ErrSyntax reports text that is no share.
+// ErrSyntax reports text that is not a valid percentage.
 var ErrSyntax = errors.New("share: want a percentage from 0% to 100% with at most four decimals")
 
 // Parse reads a percentage such as "20%" or "0.5%".
-// It returns ErrSyntax for anything else, also for more than four decimals.
+// It returns ErrSyntax for anything else, including more than four decimals.
 func Parse(text string) (PPM, error) {
 	number, ok := strings.CutSuffix(strings.TrimSpace(text), "%")
 	if !ok {
@@ -58,7 +58,7 @@
 	return PPM(parts), nil
 }
 
-// String returns the share as a percentage that Parse reads back.
+// String returns the fraction as a percentage that Parse accepts.
 func (p PPM) String() string {
 	text := strconv.FormatUint(uint64(p/Percent), 10)
 	rest := uint64(p % Percent)
@@ -82,38 +82,39 @@
 	return nil
 }
 
-// Of returns the share of count, rounded down.
+// Of returns the fraction of count, rounded down.
 func (p PPM) Of(count uint64) uint64 {
 	hi, lo := bits.Mul64(count, uint64(p))
 	quotient, _ := bits.Div64(hi%uint64(Whole), lo, uint64(Whole))
 	return quotient
 }
 
-// Subject is what a share holds or does not hold: a client or a key.
+// Subject identifies a client or an affinity key for hashing.
 type Subject [16]byte
 
-// Client returns the subject that stands for a client's address.
+// Client returns the hash key of a client address.
 func Client(address netip.Addr) Subject { return address.As16() }
 
-// Key returns the subject that stands for the hash of a key.
+// Key returns the hash key for an already hashed value.
 func Key(hash uint64) Subject {
 	var s Subject
 	binary.LittleEndian.PutUint64(s[:], hash)
 	return s
 }
 
-// Position places a subject of a move or service on a scale from 0 to 999,999.
+// Position hashes a key to a position from 0 to 999,999. The name separates moves
+// and services, so that each places the same key differently.
 //
-// A subject belongs to a share exactly if its position lies below it. Growing a
-// share therefore only adds subjects, and shrinking it only removes those added
-// last, so that caches of the receiver stay warm.
+// A key belongs to a fraction if its position lies below it. Growing the fraction only
+// adds keys, and shrinking it only removes the keys added last, which keeps the
+// receiver's caches warm.
 // It does not allocate.
 func Position(name string, s Subject) PPM {
 	return PPM(hash(name, s, 0) % uint64(Whole))
 }
 
-// Weighted returns the index of the weight that a subject falls to, each in
-// proportion to its weight. It returns -1 if all weights are zero.
+// Weighted hashes a key to the index of a weight, in proportion to the weights.
+// It returns -1 if all weights are zero.
 func Weighted(name string, s Subject, weights []uint32) int {
 	var total uint64
 	for _, weight := range weights {
@@ -136,8 +137,7 @@
 	var buffer [17]byte
 	copy(buffer[:], s[:])
 	buffer[16] = salt
-	// The two sums are mixed, since xxhash over one joined buffer would need
-	// an allocation for the name.
+	// Hashes the name separately: joining it with the buffer would allocate.
 	mixed := xxhash.Sum64(buffer[:]) ^ bits.RotateLeft64(xxhash.Sum64String(name), 31)
 	mixed *= 0x9e3779b97f4a7c15
 	return mixed ^ mixed>>29
--- a/state/share/share_test.go
+++ b/state/share/share_test.go
@@ -20,15 +20,15 @@
 		bad  bool
 	}{
 		"whole":             {text: "100%", want: share.Whole},
-		"nothing":           {text: "0%", want: share.None},
+		"zero":              {text: "0%", want: share.None},
 		"decimals":          {text: "12.5%", want: 125_000},
-		"finest":            {text: "0.0001%", want: 1},
+		"smallest":          {text: "0.0001%", want: 1},
 		"no sign":           {text: "20", bad: true},
-		"too much":          {text: "100.1%", bad: true},
-		"too fine":          {text: "0.00001%", bad: true},
+		"above 100":         {text: "100.1%", bad: true},
+		"too many decimals": {text: "0.00001%", bad: true},
 		"negative":          {text: "-1%", bad: true},
 		"sign in decimals":  {text: "1.-5%", bad: true},
-		"nothing but a dot": {text: ".%", bad: true},
+		"dot only":          {text: ".%", bad: true},
 	}
 	for name, c := range cases {
 		Convey("Parse "+name, t, func() {
@@ -49,7 +49,7 @@
 	})
 }
 
-// A growing share keeps every client that it held.
+// Guards against clients leaving a fraction when it grows.
 func TestGrowingShareMovesNoClientBack(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		client := netip.AddrFrom4([4]byte(rapid.SliceOfN(rapid.Byte(), 4, 4).Draw(t, "ip")))
@@ -62,7 +62,7 @@
 	})
 }
 
-func TestPositionsAreEven(t *testing.T) {
+func TestPositionsAreUniform(t *testing.T) {
 	const clients = 100_000
 	below := 0
 	for i := range clients {
