--- a/coordination/poison/memory.go
+++ b/coordination/poison/memory.go
@@ -11,77 +11,77 @@
 )
 
 const (
-	// generation is for how long at least a Memory remembers a request; it may be up
-	// to twice that.
-	generation = 30 * time.Second
-	// maxRemembered bounds the requests of one generation: 2 MB for both.
-	maxRemembered = 16384
+	// rotation is the minimum time for which a History remembers a request; the maximum
+	// is twice that.
+	rotation = 30 * time.Second
+	// maxPerGeneration bounds the requests of one generation, and so the memory use.
+	maxPerGeneration = 16384
 )
 
-// Memory is what one VM remembers of how requests ended here: which were answered, and
-// at how many workers that hung up each was. It is safe for concurrent use.
+// Memory records how requests recently ended at this VM: whether they were answered,
+// and how many hang-ups count against them. It is safe for concurrent use.
 type Memory struct {
 	now func() time.Time
 
 	mu sync.Mutex
-	// newer and older are two generations, the older of which is forgotten next.
-	newer, older map[quarantine.Fingerprint]past
-	begun        time.Time
+	// newer and older are two generations; a rotation drops the older one.
+	newer, older map[quarantine.Fingerprint]outcome
+	rotatedAt    time.Time
 }
 
-// past is how a request ended lately.
-type past struct {
+// outcome is the recent history of one request.
+type outcome struct {
 	answered bool
 	hangUps  int
 }
 
-// NewMemory returns an empty memory. Now tells the time.
+// NewMemory returns an empty history that reads the time from now.
 func NewMemory(now func() time.Time) *Memory {
-	return &Memory{now: now, newer: make(map[quarantine.Fingerprint]past), begun: now()}
+	return &Memory{now: now, newer: make(map[quarantine.Fingerprint]outcome), rotatedAt: now()}
 }
 
-// HungUp notes that a worker hung up, and reports whether that speaks against the
-// request: it does unless the request was answered since the last time.
+// HungUp records that a worker hung up, and reports whether this counts against the
+// request. It does unless the request was answered since its last hang-up.
 func (m *Memory) HungUp(f quarantine.Fingerprint) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	p := m.get(f)
-	speaks := !p.answered
-	p.answered = false
-	if speaks {
-		p.hangUps++
+	o := m.lookup(f)
+	suspicious := !o.answered
+	o.answered = false
+	if suspicious {
+		o.hangUps++
 	}
-	m.set(f, p)
-	return speaks
+	m.store(f, o)
+	return suspicious
 }
 
-// Answered notes that a request was answered, and reports whether a hang-up spoke
-// against it until then.
+// Answered records that a request was answered, and reports whether this cleared
+// earlier hang-ups.
 func (m *Memory) Answered(f quarantine.Fingerprint) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	cleared := m.get(f).hangUps > 0
-	m.set(f, past{answered: true})
+	cleared := m.lookup(f).hangUps > 0
+	m.store(f, outcome{answered: true})
 	return cleared
 }
 
-// HangUps returns how many hang-ups speak against a request.
+// HangUps returns how many hang-ups count against a request.
 func (m *Memory) HangUps(f quarantine.Fingerprint) int {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.get(f).hangUps
+	return m.lookup(f).hangUps
 }
 
-func (m *Memory) get(f quarantine.Fingerprint) past {
-	if p, ok := m.newer[f]; ok {
-		return p
+func (m *Memory) lookup(f quarantine.Fingerprint) outcome {
+	if o, ok := m.newer[f]; ok {
+		return o
 	}
 	return m.older[f]
 }
 
-func (m *Memory) set(f quarantine.Fingerprint, p past) {
-	if now := m.now(); len(m.newer) >= maxRemembered || now.Sub(m.begun) >= generation {
-		m.older, m.newer, m.begun = m.newer, make(map[quarantine.Fingerprint]past), now
+func (m *Memory) store(f quarantine.Fingerprint, o outcome) {
+	if now := m.now(); len(m.newer) >= maxPerGeneration || now.Sub(m.rotatedAt) >= rotation {
+		m.older, m.newer, m.rotatedAt = m.newer, make(map[quarantine.Fingerprint]outcome), now
 	}
-	m.newer[f] = p
+	m.newer[f] = o
 }
--- a/coordination/poison/poison.go
+++ b/coordination/poison/poison.go
@@ -1,26 +1,26 @@
 // Copyright 2026 The ryehill Authors
 // SPDX-License-Identifier: Apache-2.0
 
-// Package poison finds the requests that end the process of each worker that begins
-// to run them.
+// Package poison detects requests that crash every worker that runs them.
 //
-// VMs tell a Detector of each request that had no answer because its worker hung up.
-// One such hang-up says little: all requests under way at a worker break off when it
-// ends, and connections are reset for other reasons. What tells the guilty one from
-// the others:
+// VMs report to a Detector each request that got no response because its worker hung
+// up. A single hang-up proves little: a crash breaks all requests in flight at the
+// worker, and connections are also reset for other reasons. The detector tells the
+// cause from the other requests by three rules:
 //
-//   - It is never answered. A popular request that breaks off at workers which end is
-//     answered by others all the time; an answer clears it.
-//   - It is there each time. Three ends of workers (evidence of hang-ups at a worker
-//     that lie close together is of one end) are needed.
-//   - It explains the ends. Of requests that were under way at the same ends, the one
-//     with the most ends is found first, and its ends do not count against the others.
+//   - It is never answered. A popular request that is cut off by crashes is answered
+//     by other workers all the time, and an answer clears it.
+//   - It is present every time. Three crashes are needed; hang-ups of one worker that
+//     lie close together count as one crash.
+//   - It explains the crashes. Of requests that were in flight at the same crashes, the
+//     one with the most crashes is detected first, and its crashes no longer count
+//     against the others.
 //
 // # Usage
 //
 //	d := poison.New(poison.Config{Known: table.Get})
 //	d.Add(poison.HangUp{Fingerprint: f, Worker: "w7", At: time.Now()})
-//	for _, entry := range d.Decide() { /* hold it, tell others */ }
+//	for _, entry := range d.Detect() { /* quarantine it, tell other VMs */ }
 package poison
 
 import (
@@ -33,25 +33,25 @@
 )
 
 const (
-	// needed is how many ends of workers a request must have been under way at. At
-	// two, one attempt of an innocent one (two tries) beside two ends would do.
-	needed = 3
-	// oneEnd is up to how far apart hang-ups at a worker are of one end: the largest
-	// difference of when VMs notice it. A worker is back after more than that.
-	oneEnd = 300 * time.Millisecond
-	// undecided is for how long it is waited for another end, if several requests
-	// were under way at as many of the same ones.
-	undecided = time.Second
-	// memory is for how long a hang-up counts.
-	memory = 10 * time.Minute
-	// maxSuspects and maxWorkers bound the requests and workers that are remembered:
-	// 2 MB. Those that were heard of last are kept.
+	// minCrashes is how many crashes a request must have been in flight at. Two would
+	// not do: a harmless request with one retry can meet two unrelated crashes.
+	minCrashes = 3
+	// crashWindow is the maximum time between hang-ups of a worker that count as one
+	// crash. It covers the delay until all VMs notice, and a restart takes longer.
+	crashWindow = 300 * time.Millisecond
+	// tieDelay is how long detection waits for another crash while several requests
+	// were in flight at equally many crashes, some of them the same.
+	tieDelay = time.Second
+	// retention is how long a hang-up counts.
+	retention = 10 * time.Minute
+	// maxSuspects and maxWorkers bound the requests and workers that are tracked, and
+	// so the memory use.
 	maxSuspects, maxWorkers = 4096, 4096
-	// maxEnds bounds the ends that are remembered of a worker.
-	maxEnds = 8
+	// maxCrashes bounds the crashes tracked per worker. The oldest is dropped first.
+	maxCrashes = 8
 )
 
-// HangUp tells of a worker that ended the connection before it answered a request.
+// HangUp reports that a worker closed the connection before it answered a request.
 type HangUp struct {
 	Fingerprint quarantine.Fingerprint
 	Target      uint64
@@ -61,46 +61,46 @@
 	At          time.Time
 }
 
-// Config sets up a Detector. The zero value is useful.
+// Config configures a Detector. The zero value is valid.
 type Config struct {
-	// Known returns the entry of a request that was found before, by any VM. Such a
-	// request is found again by one end. Default none.
+	// Known returns the entry of a request that was quarantined before, by any VM.
+	// Such a request is detected again after one crash. Default: none.
 	Known func(quarantine.Fingerprint) (quarantine.Entry, bool)
-	// Now tells the time. Default time.Now.
+	// Now returns the current time. Default: time.Now.
 	Now func() time.Time
 }
 
-// Detector collects hang-ups and finds the requests that cause them. It is safe for
+// Detector collects hang-ups and detects the requests that cause them. It is safe for
 // concurrent use.
 type Detector struct {
 	cfg Config
 
 	mu sync.Mutex
-	// unsettled is set while Decide may find anything.
-	unsettled bool
-	suspects  map[quarantine.Fingerprint]*suspect
-	workers   map[string][]*end
+	// dirty is set while Detect may find something.
+	dirty    bool
+	suspects map[quarantine.Fingerprint]*suspect
+	workers  map[string][]*crash
 }
 
-// suspect is a request that was under way when workers ended.
+// suspect is a request that was in flight when workers crashed.
 type suspect struct {
-	last HangUp
-	ends []*end
-	// since is when it had enough ends, zero before.
-	since time.Time
-	// found is set once it was found; its further ends still count as explained.
+	last    HangUp
+	crashes []*crash
+	// eligibleSince is when it reached enough crashes, zero before.
+	eligibleSince time.Time
+	// found is set once it was detected. Its further crashes still count as explained.
 	found bool
 }
 
-// end is the end of a worker's process.
-type end struct {
+// crash is the end of a worker process.
+type crash struct {
 	worker string
 	at     time.Time
-	// explained is set once it is known which request caused it.
+	// explained is set once the request that caused it was detected.
 	explained bool
 }
 
-// New returns a detector that has heard of nothing.
+// New returns a detector without hang-ups.
 func New(cfg Config) *Detector {
 	if cfg.Now == nil {
 		cfg.Now = time.Now //nolint:forbidigo // The default for embedders.
@@ -108,48 +108,48 @@
 	if cfg.Known == nil {
 		cfg.Known = func(quarantine.Fingerprint) (quarantine.Entry, bool) { return quarantine.Entry{}, false }
 	}
-	return &Detector{cfg: cfg, suspects: make(map[quarantine.Fingerprint]*suspect), workers: make(map[string][]*end)}
+	return &Detector{cfg: cfg, suspects: make(map[quarantine.Fingerprint]*suspect), workers: make(map[string][]*crash)}
 }
 
-// Add takes in a hang-up. Hang-ups may come late, twice and in any order.
+// Add records a hang-up. Hang-ups may come late, repeatedly and in any order.
 func (d *Detector) Add(h HangUp) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.bound()
-	e := d.endOf(h)
+	d.evict()
+	c := d.crashOf(h)
 	s, ok := d.suspects[h.Fingerprint]
 	if !ok {
 		s = &suspect{}
 		d.suspects[h.Fingerprint] = s
 	}
 	s.last = h
-	d.unsettled = true
-	if before, again := d.cfg.Known(h.Fingerprint); again && !before.Holds(h.At) {
+	d.dirty = true
+	if known, found := d.cfg.Known(h.Fingerprint); found && !known.Holds(h.At) {
 		s.found = false
 	}
 	switch {
-	case slices.Contains(s.ends, e):
+	case slices.Contains(s.crashes, c):
 	case s.found:
-		d.explain([]*end{e})
-	case !e.explained:
-		s.ends = append(s.ends, e)
+		d.markExplained([]*crash{c})
+	case !c.explained:
+		s.crashes = append(s.crashes, c)
 	}
 }
 
-// endOf returns the end that a hang-up is of.
-func (d *Detector) endOf(h HangUp) *end {
-	ends := d.workers[h.Worker]
-	for _, e := range ends {
-		if h.At.Sub(e.at).Abs() <= oneEnd {
-			return e
+// crashOf returns the crash that a hang-up belongs to, and records it if it is new.
+func (d *Detector) crashOf(h HangUp) *crash {
+	crashes := d.workers[h.Worker]
+	for _, c := range crashes {
+		if h.At.Sub(c.at).Abs() <= crashWindow {
+			return c
 		}
 	}
-	e := &end{worker: h.Worker, at: h.At}
-	d.workers[h.Worker] = append(ends[max(0, len(ends)-maxEnds+1):len(ends):len(ends)], e)
-	return e
+	c := &crash{worker: h.Worker, at: h.At}
+	d.workers[h.Worker] = append(crashes[max(0, len(crashes)-maxCrashes+1):len(crashes):len(crashes)], c)
+	return c
 }
 
-// Answered clears a request: it was answered, so it does not end every worker.
+// Answered clears a request: since it was answered, it does not crash every worker.
 func (d *Detector) Answered(f quarantine.Fingerprint) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -158,142 +158,143 @@
 	}
 }
 
-// Release forgets that a request was found.
+// Release forgets a request, so that it must be detected anew.
 func (d *Detector) Release(f quarantine.Fingerprint) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	delete(d.suspects, f)
 }
 
-// Decide returns the requests that are found to end workers.
+// Decide returns the newly detected requests as entries to quarantine.
 func (d *Detector) Decide() []quarantine.Entry {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if !d.unsettled {
+	if !d.dirty {
 		return nil
 	}
-	d.unsettled = false
+	d.dirty = false
 	now := d.cfg.Now()
-	d.forget(now)
+	d.expire(now)
 	var found []quarantine.Entry
 	for _, s := range d.ranked() {
-		before, again := d.cfg.Known(s.last.Fingerprint)
-		if again && before.Holds(now) {
-			d.find(s) // By another VM.
+		known, repeat := d.cfg.Known(s.last.Fingerprint)
+		if repeat && known.Holds(now) {
+			d.confirm(s) // quarantined by another VM
 			continue
 		}
-		if d.decide(s, again, now) {
-			found = append(found, s.entry(before).Renewed(now))
-			d.find(s)
+		if d.isPoison(s, repeat, now) {
+			found = append(found, s.entry(known).Renewed(now))
+			d.confirm(s)
 		}
 	}
 	return found
 }
 
-// Settled reports whether Decide finds nothing until something is added.
+// Settled reports whether Detect has nothing to do until a hang-up is added.
 func (d *Detector) Settled() bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return !d.unsettled
+	return !d.dirty
 }
 
-// decide reports whether a request is found to end workers.
-func (d *Detector) decide(s *suspect, again bool, now time.Time) bool {
-	if len(s.ends) < needed && (!again || len(s.ends) == 0) {
+// isPoison reports whether there is enough evidence against a request. A repeat is a
+// request that was quarantined before.
+func (d *Detector) isPoison(s *suspect, repeat bool, now time.Time) bool {
+	if len(s.crashes) < minCrashes && (!repeat || len(s.crashes) == 0) {
 		return false
 	}
-	if s.since.IsZero() {
-		s.since = now
+	if s.eligibleSince.IsZero() {
+		s.eligibleSince = now
 	}
-	if d.rivalled(s) && now.Sub(s.since) < undecided {
-		d.unsettled = true
+	if d.hasRival(s) && now.Sub(s.eligibleSince) < tieDelay {
+		d.dirty = true
 		return false
 	}
 	return true
 }
 
-// ranked returns the requests that were not found yet, those with the most ends first.
+// ranked returns the undetected requests, those with the most crashes first.
 func (d *Detector) ranked() []*suspect {
 	var list []*suspect
 	for _, s := range d.suspects {
-		if !s.found && len(s.ends) > 0 {
+		if !s.found && len(s.crashes) > 0 {
 			list = append(list, s)
 		}
 	}
 	slices.SortFunc(list, func(a, b *suspect) int {
-		return cmp.Or(cmp.Compare(len(b.ends), len(a.ends)), slices.Compare(a.last.Fingerprint[:], b.last.Fingerprint[:]))
+		return cmp.Or(cmp.Compare(len(b.crashes), len(a.crashes)), slices.Compare(a.last.Fingerprint[:], b.last.Fingerprint[:]))
 	})
 	return list
 }
 
-// rivalled reports whether another request was under way at as many ends, one of them
-// the same.
-func (d *Detector) rivalled(s *suspect) bool {
+// hasRival reports whether another undetected request has at least as many crashes and
+// shares one with s.
+func (d *Detector) hasRival(s *suspect) bool {
 	for _, other := range d.suspects {
-		if other == s || other.found || len(other.ends) < len(s.ends) {
+		if other == s || other.found || len(other.crashes) < len(s.crashes) {
 			continue
 		}
-		if slices.ContainsFunc(s.ends, func(e *end) bool { return slices.Contains(other.ends, e) }) {
+		if slices.ContainsFunc(s.crashes, func(c *crash) bool { return slices.Contains(other.crashes, c) }) {
 			return true
 		}
 	}
 	return false
 }
 
-// find notes that a request causes its ends, so that they do not count against others.
-func (d *Detector) find(s *suspect) {
+// confirm marks a request as detected, so that its crashes do not count against others.
+func (d *Detector) confirm(s *suspect) {
 	s.found = true
-	d.explain(s.ends)
-	s.ends = nil
+	d.markExplained(s.crashes)
+	s.crashes = nil
 }
 
-func (d *Detector) explain(ends []*end) {
-	for _, e := range ends {
-		e.explained = true
+func (d *Detector) markExplained(crashes []*crash) {
+	for _, c := range crashes {
+		c.explained = true
 	}
 	for _, s := range d.suspects {
-		s.ends = slices.DeleteFunc(s.ends, func(e *end) bool { return e.explained })
-		if len(s.ends) < needed {
-			s.since = time.Time{}
+		s.crashes = slices.DeleteFunc(s.crashes, func(c *crash) bool { return c.explained })
+		if len(s.crashes) < minCrashes {
+			s.eligibleSince = time.Time{}
 		}
 	}
 }
 
-func (s *suspect) entry(before quarantine.Entry) quarantine.Entry {
+func (s *suspect) entry(known quarantine.Entry) quarantine.Entry {
 	e := quarantine.Entry{
-		Fingerprint: s.last.Fingerprint, Target: s.last.Target, Subject: s.last.Subject, Service: s.last.Service, Times: before.Times,
+		Fingerprint: s.last.Fingerprint, Target: s.last.Target, Subject: s.last.Subject, Service: s.last.Service, Times: known.Times,
 	}
-	for _, end := range s.ends {
-		e.Workers = append(e.Workers, end.worker)
+	for _, c := range s.crashes {
+		e.Workers = append(e.Workers, c.worker)
 	}
 	return e
 }
 
-// forget drops what is too old to count.
-func (d *Detector) forget(now time.Time) {
-	old := func(e *end) bool { return now.Sub(e.at) > memory }
-	for worker, ends := range d.workers {
-		if ends = slices.DeleteFunc(ends, old); len(ends) == 0 {
+// expire drops crashes and requests that are older than retention.
+func (d *Detector) expire(now time.Time) {
+	old := func(c *crash) bool { return now.Sub(c.at) > retention }
+	for worker, crashes := range d.workers {
+		if crashes = slices.DeleteFunc(crashes, old); len(crashes) == 0 {
 			delete(d.workers, worker)
 			continue
 		}
-		d.workers[worker] = ends
+		d.workers[worker] = crashes
 	}
 	for f, s := range d.suspects {
-		s.ends = slices.DeleteFunc(s.ends, old)
-		if now.Sub(s.last.At) > memory {
+		s.crashes = slices.DeleteFunc(s.crashes, old)
+		if now.Sub(s.last.At) > retention {
 			delete(d.suspects, f)
 		}
 	}
 }
 
-// bound makes room for one more request and worker.
-func (d *Detector) bound() {
+// evict makes room for one more request and one more worker.
+func (d *Detector) evict() {
 	for f, s := range d.suspects {
 		if len(d.suspects) < maxSuspects {
 			break
 		}
-		if len(s.ends) <= 1 { // Most are seen once; maps are walked in any order.
+		if len(s.crashes) <= 1 { // most requests have one crash only
 			delete(d.suspects, f)
 		}
 	}
--- a/coordination/poison/poison_test.go
+++ b/coordination/poison/poison_test.go
@@ -22,7 +22,7 @@
 	return quarantine.FingerprintOf(quarantine.Identity{Target: name})
 }
 
-// step is a hang-up of a worker on requests, some time after the one before.
+// step is a crash of a worker with requests in flight, some time after the previous one.
 type step struct {
 	after    time.Duration
 	worker   string
@@ -30,7 +30,7 @@
 	answered string
 }
 
-func play(d *poison.Detector, clock *clockwork.FakeClock, steps []step) (found []string) {
+func replay(d *poison.Detector, clock *clockwork.FakeClock, steps []step) (found []string) {
 	decide := func() {
 		for _, e := range d.Decide() {
 			found = append(found, e.Subject)
@@ -46,7 +46,7 @@
 		}
 		decide()
 	}
-	for range 3 { // What is undecided is decided within that time.
+	for range 3 { // lets tieDelay pass
 		clock.Advance(time.Second)
 		decide()
 	}
@@ -60,25 +60,25 @@
 		steps []step
 		want  []string
 	}{
-		"three ends": {steps: []step{{gap, "w1", bad, ""}, {gap, "w2", bad, ""}, {gap, "w3", bad, ""}}, want: bad},
-		"two ends":   {steps: []step{{gap, "w1", bad, ""}, {gap, "w2", bad, ""}}},
-		"one end, heard of three times": {steps: []step{
+		"three crashes": {steps: []step{{gap, "w1", bad, ""}, {gap, "w2", bad, ""}, {gap, "w3", bad, ""}}, want: bad},
+		"two crashes":   {steps: []step{{gap, "w1", bad, ""}, {gap, "w2", bad, ""}}},
+		"one crash reported three times": {steps: []step{
 			{gap, "w1", bad, ""}, {50 * time.Millisecond, "w1", bad, ""}, {50 * time.Millisecond, "w1", bad, ""},
 		}},
-		"a worker that starts again under its id": {steps: []step{{gap, "w1", bad, ""}, {gap, "w1", bad, ""}, {gap, "w1", bad, ""}}, want: bad},
+		"a worker that restarts under its id": {steps: []step{{gap, "w1", bad, ""}, {gap, "w1", bad, ""}, {gap, "w1", bad, ""}}, want: bad},
 		"answered in between": {steps: []step{
 			{gap, "w1", bad, ""}, {gap, "w2", bad, "bad"}, {gap, "w3", bad, ""}, {gap, "w4", bad, ""},
 		}},
-		"another one beside it at all but one end": {steps: []step{
+		"another request in flight at all but one crash": {steps: []step{
 			{gap, "w1", other, ""}, {gap, "w2", other, ""}, {gap, "w3", other, ""}, {gap, "w4", bad, ""},
 		}, want: bad},
-		"another one that joins it later": {steps: []step{
+		"another request in flight at later crashes": {steps: []step{
 			{gap, "w1", bad, ""}, {gap, "w2", bad, ""}, {gap, "w3", bad, ""}, {gap, "w4", other, ""}, {gap, "w5", other, ""}, {gap, "w6", other, ""},
 		}, want: bad},
-		"two that cannot be told apart": {steps: []step{
+		"two requests at the same crashes": {steps: []step{
 			{gap, "w1", other, ""}, {gap, "w2", other, ""}, {gap, "w3", other, ""},
 		}, want: []string{"any"}},
-		"two of them": {steps: []step{
+		"two poison requests": {steps: []step{
 			{gap, "w1", bad, ""},
 			{gap, "w2", []string{"worse"}, ""},
 			{gap, "w3", bad, ""},
@@ -86,12 +86,12 @@
 			{gap, "w5", bad, ""},
 			{gap, "w6", []string{"worse"}, ""},
 		}, want: []string{"bad", "worse"}},
-		"too long ago": {steps: []step{{gap, "w1", bad, ""}, {gap, "w2", bad, ""}, {11 * time.Minute, "w3", bad, ""}}},
+		"a crash too long ago": {steps: []step{{gap, "w1", bad, ""}, {gap, "w2", bad, ""}, {11 * time.Minute, "w3", bad, ""}}},
 	}
 	for name, c := range cases {
 		Convey("With "+name, t, func() {
 			clock := clockwork.NewFakeClock()
-			found := play(poison.New(poison.Config{Now: clock.Now}), clock, c.steps)
+			found := replay(poison.New(poison.Config{Now: clock.Now}), clock, c.steps)
 			switch {
 			case len(c.want) == 1 && c.want[0] == "any":
 				So(found, ShouldHaveLength, 1)
@@ -104,13 +104,13 @@
 	}
 }
 
-// A request that was held before is held again by one end, for longer.
-func TestFoundAgain(t *testing.T) {
+// Guards against a repeat offender needing as many crashes as the first time.
+func TestRepeatDetectionNeedsOneCrash(t *testing.T) {
 	Convey("After its term", t, func() {
 		clock := clockwork.NewFakeClock()
 		table := quarantine.NewTable()
 		d := poison.New(poison.Config{Known: table.Get, Now: clock.Now})
-		end := func() []quarantine.Entry {
+		crashWorker := func() []quarantine.Entry {
 			d.Add(poison.HangUp{Fingerprint: request("bad"), Worker: "w", At: clock.Now()})
 			entries := d.Decide()
 			for _, e := range entries {
@@ -119,58 +119,54 @@
 			clock.Advance(time.Second)
 			return entries
 		}
-		end()
-		end()
-		first := end()
+		crashWorker()
+		crashWorker()
+		first := crashWorker()
 		So(first, ShouldHaveLength, 1)
-		So(end(), ShouldBeEmpty) // One that was under way.
+		So(crashWorker(), ShouldBeEmpty) // a request in flight when the entry was made
 		clock.Advance(11 * time.Minute)
-		second := end()
+		second := crashWorker()
 		So(second, ShouldHaveLength, 1)
 		So(second[0].Times, ShouldEqual, 2)
 		So(second[0].Until.Sub(second[0].Since), ShouldBeGreaterThan, first[0].Until.Sub(first[0].Since))
-		Convey("but not once it was released", func() {
+		Convey("but not after a release", func() {
 			table.Release(request("bad"))
 			d.Release(request("bad"))
-			So(end(), ShouldBeEmpty)
+			So(crashWorker(), ShouldBeEmpty)
 		})
 	})
 }
 
-// Whatever order hang-ups come in and however often each, the same requests are found.
-func TestOrderDoesNotMatter(t *testing.T) {
+// Guards against detection depending on the order or the repetition of hang-ups.
+func TestDetectionIgnoresOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		clock := clockwork.NewFakeClock()
 		d := poison.New(poison.Config{Now: clock.Now})
-		ends := rapid.IntRange(1, 6).Draw(t, "ends")
-		var told []poison.HangUp
-		for i := range ends {
+		crashes := rapid.IntRange(1, 6).Draw(t, "ends")
+		var hangUps []poison.HangUp
+		for i := range crashes {
 			h := poison.HangUp{Fingerprint: request("bad"), Worker: fmt.Sprint("w", i), At: clock.Now().Add(time.Duration(i) * time.Second)}
 			for range rapid.IntRange(1, 3).Draw(t, "copies") {
-				told = append(told, h)
+				hangUps = append(hangUps, h)
 			}
 		}
-		clock.Advance(time.Duration(ends) * time.Second)
-		for _, h := range rapid.Permutation(told).Draw(t, "order") {
+		clock.Advance(time.Duration(crashes) * time.Second)
+		for _, h := range rapid.Permutation(hangUps).Draw(t, "order") {
 			d.Add(h)
 		}
-		if found := d.Decide(); (len(found) == 1) != (ends >= 3) {
-			t.Fatalf("%d found of %d ends", len(found), ends)
+		if found := d.Decide(); (len(found) == 1) != (crashes >= 3) {
+			t.Fatalf("%d found with %d crashes", len(found), crashes)
 		}
 	})
 }
 
-// Workers that end for other reasons, 60 on a day, each with nine requests under way: no
-// popular request is found, since those are answered all the time, and of rare ones,
-// which are tried up to four times, only such as meet three ends. With 200 workers and
-// runs of 0.1 s a try meets one with a probability of 0.0005, so that one of four million
-// requests under way at an end is found wrongly; with 0.05 it is one of 400.
-func TestInnocentsWhenWorkersEnd(t *testing.T) {
-	const days, ends, slots, popular, tries = 200, 60, 9, 40, 4
+// Guards against quarantining harmless requests that were in flight at unrelated crashes.
+func TestUnrelatedCrashesRarelyCondemnRequests(t *testing.T) {
+	const days, crashes, slots, popular, tries = 200, 60, 9, 40, 4
 	cases := map[string]struct {
-		meets float64
-		most  int
-	}{"on a day": {0.0005, 0}, "where one end follows the other": {0.05, 250}}
+		crashRate float64
+		maxFound  int
+	}{"crashes far apart": {0.0005, 0}, "frequent crashes": {0.05, 250}}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
 			clock, found := clockwork.NewFakeClock(), 0
@@ -182,7 +178,7 @@
 						d.Add(poison.HangUp{Fingerprint: f, Subject: name, Worker: worker, At: clock.Now()})
 					}
 				}
-				for end := range ends {
+				for crash := range crashes {
 					clock.Advance(time.Duration(random.IntN(2000)) * time.Millisecond)
 					for p := range popular {
 						if f := request(fmt.Sprint("popular", p)); memory.Answered(f) {
@@ -191,20 +187,20 @@
 					}
 					for slot := range slots {
 						if random.IntN(2) == 0 {
-							hangUp(fmt.Sprint("popular", random.IntN(popular)), fmt.Sprint("w", end))
+							hangUp(fmt.Sprint("popular", random.IntN(popular)), fmt.Sprint("w", crash))
 							continue
 						}
-						rare := fmt.Sprintf("rare %d %d", end, slot)
-						hangUp(rare, fmt.Sprint("w", end))
-						for try := 1; try < tries && random.Float64() < c.meets; try++ {
-							hangUp(rare, fmt.Sprintf("w%d-%d-%d", end, slot, try))
+						rare := fmt.Sprintf("rare %d %d", crash, slot)
+						hangUp(rare, fmt.Sprint("w", crash))
+						for try := 1; try < tries && random.Float64() < c.crashRate; try++ {
+							hangUp(rare, fmt.Sprintf("w%d-%d-%d", crash, slot, try))
 						}
 					}
 					found += len(d.Decide())
 				}
 			}
-			if found > c.most {
-				t.Errorf("%d of %d requests found, want at most %d", found, days*ends*slots, c.most)
+			if found > c.maxFound {
+				t.Errorf("%d of %d requests found, want at most %d", found, days*crashes*slots, c.maxFound)
 			}
 		})
 	}
--- a/coordination/rollout/fleet_test.go
+++ b/coordination/rollout/fleet_test.go
@@ -16,19 +16,19 @@
 	"github.com/ryehill/ryehill/state/worker"
 )
 
-// fault is how the new version of a modelled service is bad.
+// fault describes how the new version of a simulated service is bad.
 type fault struct {
-	// part of its answers fails, or takes times as long.
-	part, times float64
-	// after is when that begins, and route where, "" for everywhere.
-	after time.Duration
+	// fraction of its responses fails, or takes slowdown times as long.
+	fraction, slowdown float64
+	// start is when the fault begins, and route where, "" for everywhere.
+	start time.Duration
 	route string
-	// underLoad is set if it shows only once the version serves everything.
+	// underLoad limits the fault to the shift and later phases.
 	underLoad bool
 }
 
-// model is a service with some VMs before it, a thousandth of a second at a time. Its keys
-// are slow with a worker at first; each worker of the new version starts without any.
+// model simulates a service behind several VMs in steps of 1 ms. The first run of a key at a
+// worker is slow; workers of the new version start without warm keys.
 type model struct {
 	seed    uint64
 	random  *rand.Rand
@@ -37,41 +37,41 @@
 	vms     []*rolling.Share
 	decider *rolling.Decider
 	order   rollout.Order
-	perS    float64
+	rate    float64
 	keys    int
 	slots   int
-	// warm is from when on a key is fast at a place.
-	warm     map[string]time.Time
-	fault    *fault
-	ill      float64 // The part of the answers of both versions that fail.
-	deaf     map[int]bool
-	ends     ends
-	toNew    int
-	requests int
-	// lost counts what was under way at old workers when the order was completed.
-	lost, underWay int
-	done           time.Duration
-	phase          rollout.Phase
-	reason         string
-	// stored keeps the old version's requests under way.
+	// warm is when a key becomes fast at a location.
+	warm         map[string]time.Time
+	fault        *fault
+	baseFailures float64 // failure rate of both versions
+	unreachable  map[int]bool
+	pending      completions
+	sentToNew    int
+	requests     int
+	// inFlightAtEnd counts the requests in flight at old workers when the order ended.
+	inFlightAtEnd, oldInFlight int
+	done                       time.Duration
+	phase                      rollout.Phase
+	reason                     string
+	// share is the maximum fraction of requests for the new version.
 	share float64
 }
 
-// ending is a request that ends at a moment.
-type ending struct {
+// completion is the scheduled end of a request.
+type completion struct {
 	at     time.Time
 	try    *rolling.Try
 	failed bool
 	old    bool
 }
 
-type ends []ending
+type completions []completion
 
-func (e ends) Len() int           { return len(e) }
-func (e ends) Less(i, j int) bool { return e[i].at.Before(e[j].at) }
-func (e ends) Swap(i, j int)      { e[i], e[j] = e[j], e[i] }
-func (e *ends) Push(x any)        { *e = append(*e, x.(ending)) }
-func (e *ends) Pop() any {
+func (e completions) Len() int           { return len(e) }
+func (e completions) Less(i, j int) bool { return e[i].at.Before(e[j].at) }
+func (e completions) Swap(i, j int)      { e[i], e[j] = e[j], e[i] }
+func (e *completions) Push(x any)        { *e = append(*e, x.(completion)) }
+func (e *completions) Pop() any {
 	old := *e
 	last := old[len(old)-1]
 	*e = old[:len(old)-1]
@@ -89,7 +89,7 @@
 	m := &model{
 		seed:   seed,
 		random: rand.New(rand.NewPCG(seed, seed)), begun: time.Unix(1000, 0), now: time.Unix(1000, 0),
-		perS: 1200, keys: 400, slots: modelSlots, warm: make(map[string]time.Time), deaf: make(map[int]bool), share: modelShare,
+		rate: 1200, keys: 400, slots: modelSlots, warm: make(map[string]time.Time), unreachable: make(map[int]bool), share: modelShare,
 		order: rollout.Order{Service: "s", Version: 2, Duration: modelDuration},
 	}
 	for range vms {
@@ -102,16 +102,16 @@
 	return m
 }
 
-// run plays the order until it has ended, or for twice its time.
+// run simulates until the order ends, or for twice its duration.
 func (m *model) run() {
 	const tick, round = time.Millisecond, 100 * time.Millisecond
 	for at := time.Duration(0); at < 2*modelDuration; at += tick {
 		m.now = m.begun.Add(at)
-		for len(m.ends) > 0 && !m.ends[0].at.After(m.now) {
-			e := heap.Pop(&m.ends).(ending)
+		for len(m.pending) > 0 && !m.pending[0].at.After(m.now) {
+			e := heap.Pop(&m.pending).(completion)
 			e.try.Ended(true, e.failed)
 			if e.old {
-				m.underWay--
+				m.oldInFlight--
 			}
 		}
 		for range m.arrivals(tick) {
@@ -124,7 +124,7 @@
 }
 
 func (m *model) arrivals(tick time.Duration) int {
-	mean := m.perS * tick.Seconds()
+	mean := m.rate * tick.Seconds()
 	n := int(mean)
 	if m.random.Float64() < mean-float64(n) {
 		n++
@@ -132,7 +132,7 @@
 	return n
 }
 
-// request sends one request, of a key that is as popular as any other.
+// request sends one request of a random key; all keys are equally popular.
 func (m *model) request(at time.Duration) {
 	const cold, warm = 1300.0, 400.0
 	k := m.random.IntN(m.keys)
@@ -140,67 +140,67 @@
 	vm := m.vms[m.random.IntN(len(m.vms))]
 	route := fmt.Sprintf("/%d/", k%3)
 	track := vm.Choose(route, hash, false)
-	place := "old"
+	location := "old"
 	if track != worker.TrackStable {
-		place = fmt.Sprint("new", track)
+		location = fmt.Sprint("new", track)
 	}
 	if at < modelDuration {
 		m.requests++
 		if track != worker.TrackStable {
-			m.toNew++
+			m.sentToNew++
 		}
 	}
 	took := cold
-	at0, known := m.warm[fmt.Sprint(place, k)]
-	if known && !m.now.Before(at0) {
+	warmAt, known := m.warm[fmt.Sprint(location, k)]
+	if known && !m.now.Before(warmAt) {
 		took = warm
 	}
-	failed := m.random.Float64() < m.ill
-	if f := m.fault; f != nil && track != worker.TrackStable && f.strikes(at, route, m.phase) && m.random.Float64() < f.part {
-		failed = failed || f.times == 0
-		took *= max(f.times, 1)
+	failed := m.random.Float64() < m.baseFailures
+	if f := m.fault; f != nil && track != worker.TrackStable && f.affects(at, route, m.phase) && m.random.Float64() < f.fraction {
+		failed = failed || f.slowdown == 0
+		took *= max(f.slowdown, 1)
 	}
 	took *= 0.85 + 0.3*m.random.Float64()
-	life := fmt.Sprint("w", hash%3) // The canaries.
-	e := ending{at: m.now.Add(time.Duration(took) * time.Millisecond), try: vm.Sent(track, route, life, hash), failed: failed, old: track == worker.TrackStable}
+	incarnation := fmt.Sprint("w", hash%3) // one of three canaries
+	e := completion{at: m.now.Add(time.Duration(took) * time.Millisecond), try: vm.Sent(track, route, incarnation, hash), failed: failed, old: track == worker.TrackStable}
 	if e.old {
-		m.underWay++
+		m.oldInFlight++
 	}
 	if !known {
-		m.warm[fmt.Sprint(place, k)] = e.at
+		m.warm[fmt.Sprint(location, k)] = e.at
 	}
-	heap.Push(&m.ends, e)
+	heap.Push(&m.pending, e)
 }
 
-func (f *fault) strikes(at time.Duration, route string, phase rollout.Phase) bool {
-	return at >= f.after && (f.route == "" || f.route == route) && (!f.underLoad || phase >= rollout.PhaseShift)
+func (f *fault) affects(at time.Duration, route string, phase rollout.Phase) bool {
+	return at >= f.start && (f.route == "" || f.route == route) && (!f.underLoad || phase >= rollout.PhaseShift)
 }
 
-// step has the decider hear all VMs that it reaches and tell them; it reports whether
-// the order has ended.
+// step runs the decider with the reports of the reachable VMs and distributes its step. It
+// reports whether the order has ended.
 func (m *model) step(at time.Duration) bool {
-	sum, heard := rollout.NewReport(), 0
+	sum, reached := rollout.NewReport(), 0
 	for i, vm := range m.vms {
-		if !m.deaf[i] {
+		if !m.unreachable[i] {
 			sum.Join(vm.Report())
-			heard++
+			reached++
 		}
 	}
-	sum.UnderWayOld = m.underWay
-	step := m.decider.Decide(rolling.Inputs{Now: m.now, Left: modelDuration - at, Report: sum, VMs: heard, Slots: m.slots})
+	sum.UnderWayOld = m.oldInFlight
+	step := m.decider.Decide(rolling.Inputs{Now: m.now, Left: modelDuration - at, Report: sum, VMs: reached, Slots: m.slots})
 	m.phase, m.reason = step.Phase, step.Reason
 	for i, vm := range m.vms {
-		if !m.deaf[i] {
+		if !m.unreachable[i] {
 			vm.Hear(step)
 		}
 	}
 	if step.Phase.Final() {
-		m.done, m.lost = at, m.underWay
+		m.done, m.inFlightAtEnd = at, m.oldInFlight
 	}
 	return step.Phase.Final()
 }
 
-// overShare returns by how many requests the new version got more than it may.
-func (m *model) overShare() float64 {
-	return float64(m.toNew) - modelShare*float64(m.requests) - modelSlack
+// excess returns by how many requests the new version exceeded its share.
+func (m *model) excess() float64 {
+	return float64(m.sentToNew) - modelShare*float64(m.requests) - modelSlack
 }
--- a/coordination/rollout/judge.go
+++ b/coordination/rollout/judge.go
@@ -14,155 +14,157 @@
 )
 
 const (
-	// alarm is the sum of logarithms of likelihood ratios from which on a version counts
-	// as bad. A sum that is held at 0 from below passes it less than once in e^alarm
-	// (1.2 million) answers of a version that is as good as the old one.
-	alarm = 14.0
-	// worseByTimes and worseByPart are by how much more than the old one a new version
-	// may fail, or be slow, before that speaks against it.
-	worseByTimes = 1.5
-	failedMore   = 0.005
-	slowMore     = 0.05
-	// doubt is how many failures are added to those of the old version, and of how many
-	// answers: what is seen little of is not known to be sound.
-	doubtFailed, doubtEnded = 1.0, 20.0
-	// leastPart and mostPart bound the parts that are compared.
-	leastPart, mostPart = 1e-4, 0.9
-	// judgedWorkers is from how many workers on the worst ones are left out, and
-	// leftOut the part of them that is: a few ill workers are no bad version.
-	judgedWorkers = 3
-	leftOut       = 0.25
-	// leastEnded is how many answers of a worker tell how ill it is.
-	leastEnded = 4
-	// maxRoutes bounds the routes that are judged each by itself, those with the most
-	// answers first.
+	// alarmThreshold is the log-likelihood ratio above which a version counts as bad. The
+	// scores never fall below 0; with a version as good as the old one, a score passes the
+	// threshold less than once in e^alarmThreshold (1.2 million) responses.
+	alarmThreshold = 14.0
+	// toleranceFactor times the old version's rate of failed or slow responses, plus
+	// failureTolerance or slowTolerance, is the rate that a new version may have.
+	toleranceFactor  = 1.5
+	failureTolerance = 0.005
+	slowTolerance    = 0.05
+	// priorFailures and priorResponses are added to the old version's counts, so that
+	// little data does not count as a rate near zero.
+	priorFailures, priorResponses = 1.0, 20.0
+	// minRate and maxRate bound the compared rates.
+	minRate, maxRate = 1e-4, 0.9
+	// minOutlierWorkers is the number of canaries from which on the worst outlierFraction
+	// of them is excluded: a few unhealthy workers do not make a bad version.
+	minOutlierWorkers = 3
+	outlierFraction   = 0.25
+	// minResponses is the minimum number of responses to rate a worker.
+	minResponses = 4
+	// maxRoutes bounds the routes analyzed one by one, those with the most responses
+	// first.
 	maxRoutes = 16
 )
 
-// failedBy and slowBy are the parts by which a bad version is taken to be worse: each has
-// a sum of its own, so that it is found soon whether it fails little or much.
+// failureIncreases and slowIncreases are the assumed increases of the rate in a bad version.
+// Each has its own score, so that small and large increases are both detected early.
 var (
-	failedBy = [...]float64{0.04, 0.15, 0.4}
-	slowBy   = [...]float64{0.12, 0.3, 0.6}
+	failureIncreases = [...]float64{0.04, 0.15, 0.4}
+	slowIncreases    = [...]float64{0.12, 0.3, 0.6}
 )
 
-// allRoutes stands for all routes together.
+// allRoutes is the key of the totals over all routes.
 const allRoutes = ""
 
-// Judge finds out whether a new version is worse than the old one, from what has ended at
-// both in the same time. It keeps cumulative sums of the logarithms of likelihood ratios
-// (Page's test), for each route and for all together, so that what was good for long and
-// then turns bad is found as soon as what was bad from the start.
+// Analyzer detects whether a new version is worse than the old one, from the responses of
+// both in the same period. It keeps cumulative sums of log-likelihood ratios (Page's
+// CUSUM test) per route and over all routes, so that a version that turns bad late is
+// detected as fast as one that is bad from the start.
 //
-// The first run of a key at a worker is slow with any version, and so is what comes for
-// that key meanwhile. So nothing is said of slowness on a route until its popular keys have
-// been run, and after that as many slow answers as new keys explain do not count.
+// The first run of a key at a worker is slow with any version, and delays the requests of
+// that key that arrive meanwhile. Slowness on a route is therefore ignored until its
+// popular keys have run, and after that as many slow responses are ignored as new keys
+// explain.
 //
-// The zero value is ready. It is not safe for concurrent use.
-type Judge struct {
-	seen map[rollout.Subject]rollout.Tally
-	sums map[string]*routeSums
-	// old is what ended at the old version lately, and oldSeen all that was counted of it.
-	old     map[string]*faded
-	oldSeen map[string]rollout.Tally
-	// keys are those that were counted, unused those of them to which no slow answer was
-	// put down yet.
-	keys, unused float64
-	pace         Pace
+// The zero value is ready to use. It is not safe for concurrent use.
+type Analyzer struct {
+	counted map[rollout.Subject]rollout.Tally
+	routes  map[string]*routeScores
+	// baseline holds the recent tallies of the old version by route, and baselineSeen
+	// the totals already added to them.
+	baseline     map[string]*decayingTally
+	baselineSeen map[string]rollout.Tally
+	// keys estimates the distinct keys counted so far. coldBudget is the number of slow
+	// responses that their first runs may still explain.
+	keys, coldBudget float64
+	timing           Timing
 }
 
-// Pace is how fast a service is, as far as that is known.
-type Pace struct {
-	// Settle is how long it takes until the popular keys of a route have been run.
+// Timing describes the latency of a service, as far as it is known.
+type Timing struct {
+	// Settle is the time until the popular keys of a route have run.
 	Settle time.Duration
-	// Overlap is how many requests of a key come while its first run is under way.
+	// Overlap is the average number of requests of a key during its first run.
 	Overlap float64
 }
 
-// routeSums are the sums of one route.
-type routeSums struct {
-	// since is when the first answer came.
+// routeScores holds the CUSUM scores of one route.
+type routeScores struct {
+	// since is when the first response arrived.
 	since  time.Time
-	failed [len(failedBy)]float64
-	slow   [len(slowBy)]float64
+	failed [len(failureIncreases)]float64
+	slow   [len(slowIncreases)]float64
 }
 
-// oldFades is the time in which what was seen of the old version fades to 1/e: a new version
-// is compared with what the old one does at that time, not with calmer times before.
-const oldFades = 4 * time.Second
+// baselineDecay is the time constant of the old version's tallies: the new version is
+// compared with the old one's current behavior, not with calmer periods before.
+const baselineDecay = 4 * time.Second
 
-// faded is a tally that fades.
-type faded struct {
+// decayingTally is a tally with exponential decay.
+type decayingTally struct {
 	ended, failed, slow float64
 	at                  time.Time
 }
 
-// add adds what has ended since.
-func (f *faded) add(now time.Time, t rollout.Tally) {
-	left := math.Exp(-now.Sub(f.at).Seconds() / oldFades.Seconds())
-	f.ended, f.failed, f.slow = f.ended*left+float64(t.Ended), f.failed*left+float64(t.Failed), f.slow*left+float64(t.Slow)
-	f.at = now
+// add decays the tally to the given time and adds t.
+func (d *decayingTally) add(now time.Time, t rollout.Tally) {
+	decay := math.Exp(-now.Sub(d.at).Seconds() / baselineDecay.Seconds())
+	d.ended, d.failed, d.slow = d.ended*decay+float64(t.Ended), d.failed*decay+float64(t.Failed), d.slow*decay+float64(t.Slow)
+	d.at = now
 }
 
-// tally returns about what was seen lately.
-func (f *faded) tally() rollout.Tally {
-	return rollout.Tally{Ended: uint32(f.ended), Failed: uint32(f.failed), Slow: uint32(f.slow)}
+// tally returns the rounded-down counts.
+func (d *decayingTally) tally() rollout.Tally {
+	return rollout.Tally{Ended: uint32(d.ended), Failed: uint32(d.failed), Slow: uint32(d.slow)}
 }
 
-// fade takes in what has ended at the old version, by route.
-func (j *Judge) fade(now time.Time, r *rollout.Report) {
+// updateBaseline adds the new responses of the old version, by route.
+func (a *Analyzer) updateBaseline(now time.Time, r *rollout.Report) {
 	sum := rollout.Tally{}
 	for route, t := range r.Old {
-		since := t.Since(j.oldSeen[route])
-		j.oldSeen[route] = t
-		sum.Add(since)
-		j.fadeRoute(now, route, since)
+		delta := t.Since(a.baselineSeen[route])
+		a.baselineSeen[route] = t
+		sum.Add(delta)
+		a.updateRouteBaseline(now, route, delta)
 	}
-	j.fadeRoute(now, allRoutes, sum)
+	a.updateRouteBaseline(now, allRoutes, sum)
 }
 
-func (j *Judge) fadeRoute(now time.Time, route string, since rollout.Tally) {
-	if j.old[route] == nil {
-		j.old[route] = &faded{at: now}
+func (a *Analyzer) updateRouteBaseline(now time.Time, route string, delta rollout.Tally) {
+	if a.baseline[route] == nil {
+		a.baseline[route] = &decayingTally{at: now}
 	}
-	j.old[route].add(now, since)
+	a.baseline[route].add(now, delta)
 }
 
-// Finding says why a version is bad.
+// Finding explains why a version is bad.
 type Finding struct {
-	// Route is where it was found, "" for all routes together.
+	// Route is the affected route, "" for all routes together.
 	Route string
-	// Slow is set if answers are too slow, and not if too many fail.
+	// Slow is set for slow responses, and unset for failures.
 	Slow bool
-	// New is the tally of the route, Old that of the old version lately.
+	// New is the new version's total on the route, Old the old version's recent tally.
 	New, Old rollout.Tally
 }
 
-// Add takes in what VMs have seen up to now, and returns why the new version is bad, if it
-// is.
-func (j *Judge) Add(now time.Time, r *rollout.Report) (Finding, bool) {
-	if j.seen == nil {
-		j.seen, j.sums = make(map[rollout.Subject]rollout.Tally), make(map[string]*routeSums)
-		j.old, j.oldSeen = make(map[string]*faded), make(map[string]rollout.Tally)
+// Add evaluates the cumulative report of the VMs, and returns a finding if the new version
+// is bad.
+func (a *Analyzer) Add(now time.Time, r *rollout.Report) (Finding, bool) {
+	if a.counted == nil {
+		a.counted, a.routes = make(map[rollout.Subject]rollout.Tally), make(map[string]*routeScores)
+		a.baseline, a.baselineSeen = make(map[string]*decayingTally), make(map[string]rollout.Tally)
 	}
-	j.fade(now, r)
-	news := j.news(r)
-	firstRuns := j.firstRuns(r, news[allRoutes])
-	for _, route := range judged(news) {
-		old := j.old[route]
+	a.updateBaseline(now, r)
+	deltas := a.takeDeltas(r)
+	coldRuns := a.takeColdRuns(r, deltas[allRoutes])
+	for _, route := range analyzedRoutes(deltas) {
+		old := a.baseline[route]
 		if old == nil {
-			old = &faded{}
+			old = &decayingTally{}
 		}
-		sums, ok := j.sums[route]
+		scores, ok := a.routes[route]
 		if !ok {
-			sums = &routeSums{since: now}
-			j.sums[route] = sums
+			scores = &routeScores{since: now}
+			a.routes[route] = scores
 		}
-		explained := firstRuns * slowPart(news[route], news[allRoutes])
-		if now.Sub(sums.since) < j.pace.Settle {
-			explained = float64(news[route].Slow)
+		explained := coldRuns * slowRatio(deltas[route], deltas[allRoutes])
+		if now.Sub(scores.since) < a.timing.Settle {
+			explained = float64(deltas[route].Slow)
 		}
-		if slow, bad := sums.add(news[route], old, explained); bad {
+		if slow, bad := scores.add(deltas[route], old, explained); bad {
 			all := r.Sum()
 			all[allRoutes] = total(all)
 			return Finding{Route: route, Slow: slow, New: all[route], Old: old.tally()}, true
@@ -171,46 +173,47 @@
 	return Finding{}, false
 }
 
-// news returns what has ended since the last call, by route, but for workers that are
-// worse than the others.
-func (j *Judge) news(r *rollout.Report) map[string]rollout.Tally {
-	ill := worstByRoute(r)
-	news := make(map[string]rollout.Tally)
+// takeDeltas returns the responses since the last call by route, without those of outlier
+// workers.
+func (a *Analyzer) takeDeltas(r *rollout.Report) map[string]rollout.Tally {
+	excluded := outliersByRoute(r)
+	deltas := make(map[string]rollout.Tally)
 	for subject, t := range r.New {
-		since := t.Since(j.seen[subject])
-		j.seen[subject] = t
-		if since.Ended == 0 {
+		delta := t.Since(a.counted[subject])
+		a.counted[subject] = t
+		if delta.Ended == 0 {
 			continue
 		}
 		for _, route := range []string{subject.Route, allRoutes} {
-			if ill[rollout.Subject{Route: route, Worker: subject.Worker}] {
+			if excluded[rollout.Subject{Route: route, Worker: subject.Worker}] {
 				continue
 			}
-			sum := news[route]
-			sum.Add(since)
-			news[route] = sum
+			sum := deltas[route]
+			sum.Add(delta)
+			deltas[route] = sum
 		}
 	}
-	return news
+	return deltas
 }
 
-// Tune says how fast the service is. Until then nothing is taken to be slow by its key.
-func (j *Judge) Tune(pace Pace) { j.pace = pace }
+// SetTiming sets the latency of the service. Before, no slow response is attributed to the
+// first run of a key.
+func (a *Analyzer) SetTiming(timing Timing) { a.timing = timing }
 
-// firstRuns returns about how many of the slow answers among the news were the first with
-// their key.
-func (j *Judge) firstRuns(r *rollout.Report, news rollout.Tally) float64 {
+// takeColdRuns estimates how many slow responses in delta were caused by first runs of keys,
+// and deducts them from the budget.
+func (a *Analyzer) takeColdRuns(r *rollout.Report, delta rollout.Tally) float64 {
 	keys := r.Keys.Count()
-	j.unused += (1 + j.pace.Overlap) * max(keys-j.keys, 0)
-	j.keys = max(keys, j.keys)
-	first := min(j.unused, float64(news.Slow))
-	j.unused -= first
-	return first
+	a.coldBudget += (1 + a.timing.Overlap) * max(keys-a.keys, 0)
+	a.keys = max(keys, a.keys)
+	cold := min(a.coldBudget, float64(delta.Slow))
+	a.coldBudget -= cold
+	return cold
 }
 
-// worstByRoute returns the workers of the trial that do worse than the others, on each
-// route and on all together, and so may be ill themselves.
-func worstByRoute(r *rollout.Report) map[rollout.Subject]bool {
+// outliersByRoute returns the canary workers that do worse than the others on a route or
+// overall, and so may be unhealthy themselves.
+func outliersByRoute(r *rollout.Report) map[rollout.Subject]bool {
 	byRoute := make(map[string]map[string]rollout.Tally)
 	for subject, t := range r.New {
 		if subject.Worker == "" {
@@ -225,35 +228,35 @@
 			byRoute[route][subject.Worker] = sum
 		}
 	}
-	ill := make(map[rollout.Subject]bool)
+	excluded := make(map[rollout.Subject]bool)
 	for route, workers := range byRoute {
-		for _, id := range worst(workers) {
-			ill[rollout.Subject{Route: route, Worker: id}] = true
+		for _, id := range outliers(workers) {
+			excluded[rollout.Subject{Route: route, Worker: id}] = true
 		}
 	}
-	return ill
+	return excluded
 }
 
-// worst returns the worst of some workers, if they are enough for that to say anything.
-func worst(workers map[string]rollout.Tally) []string {
-	maps.DeleteFunc(workers, func(_ string, t rollout.Tally) bool { return t.Ended < leastEnded })
-	if len(workers) < judgedWorkers {
+// outliers returns the worst workers, or none if too few have enough responses.
+func outliers(workers map[string]rollout.Tally) []string {
+	maps.DeleteFunc(workers, func(_ string, t rollout.Tally) bool { return t.Ended < minResponses })
+	if len(workers) < minOutlierWorkers {
 		return nil
 	}
 	ids := slices.Collect(maps.Keys(workers))
 	slices.SortFunc(ids, func(a, b string) int {
-		return cmp.Or(cmp.Compare(badPart(workers[b]), badPart(workers[a])), cmp.Compare(a, b))
+		return cmp.Or(cmp.Compare(badRate(workers[b]), badRate(workers[a])), cmp.Compare(a, b))
 	})
-	return ids[:int(math.Ceil(leftOut*float64(len(ids))))]
+	return ids[:int(math.Ceil(outlierFraction*float64(len(ids))))]
 }
 
-func badPart(t rollout.Tally) float64 { return float64(t.Failed+t.Slow) / float64(t.Ended) }
+func badRate(t rollout.Tally) float64 { return float64(t.Failed+t.Slow) / float64(t.Ended) }
 
-// judged returns the routes with news that are judged, all together last.
-func judged(news map[string]rollout.Tally) []string {
-	routes := slices.Collect(maps.Keys(news))
+// analyzedRoutes returns the routes to analyze, those with the most responses first.
+func analyzedRoutes(deltas map[string]rollout.Tally) []string {
+	routes := slices.Collect(maps.Keys(deltas))
 	slices.SortFunc(routes, func(a, b string) int {
-		return cmp.Or(cmp.Compare(news[b].Ended, news[a].Ended), cmp.Compare(b, a))
+		return cmp.Or(cmp.Compare(deltas[b].Ended, deltas[a].Ended), cmp.Compare(b, a))
 	})
 	return routes[:min(len(routes), maxRoutes+1)]
 }
@@ -266,38 +269,40 @@
 	return sum
 }
 
-func slowPart(of, all rollout.Tally) float64 { return float64(of.Slow) / max(float64(all.Slow), 1) }
+func slowRatio(part, all rollout.Tally) float64 {
+	return float64(part.Slow) / max(float64(all.Slow), 1)
+}
 
-// add takes in news of one route of which some are first runs, and reports whether the
-// version is bad, and whether for being slow.
-func (s *routeSums) add(news rollout.Tally, old *faded, firstRuns float64) (slow, bad bool) {
-	ended, failed := float64(news.Ended), float64(news.Failed)
-	like := likely(old.failed, old.ended, failedMore)
-	for i, more := range failedBy {
-		if s.failed[i] = grow(s.failed[i], ended, failed, like, more); s.failed[i] > alarm {
+// add updates the scores of a route, excluding slow responses explained by first runs. It
+// reports whether the version is bad, and whether because it is slow.
+func (s *routeScores) add(delta rollout.Tally, old *decayingTally, coldRuns float64) (slow, bad bool) {
+	ended, failed := float64(delta.Ended), float64(delta.Failed)
+	tolerated := toleratedRate(old.failed, old.ended, failureTolerance)
+	for i, increase := range failureIncreases {
+		if s.failed[i] = updateScore(s.failed[i], ended, failed, tolerated, increase); s.failed[i] > alarmThreshold {
 			return false, true
 		}
 	}
-	ended -= firstRuns
-	slowed := min(max(float64(news.Slow)-firstRuns, 0), ended)
-	like = likely(old.slow, old.ended, slowMore)
-	for i, more := range slowBy {
-		if s.slow[i] = grow(s.slow[i], ended, slowed, like, more); s.slow[i] > alarm {
+	ended -= coldRuns
+	slowed := min(max(float64(delta.Slow)-coldRuns, 0), ended)
+	tolerated = toleratedRate(old.slow, old.ended, slowTolerance)
+	for i, increase := range slowIncreases {
+		if s.slow[i] = updateScore(s.slow[i], ended, slowed, tolerated, increase); s.slow[i] > alarmThreshold {
 			return true, true
 		}
 	}
 	return false, false
 }
 
-// likely returns the part of bad answers that a version may have which is no worse than
-// the old one.
-func likely(bad, ended, more float64) float64 {
-	return min(max(worseByTimes*(bad+doubtFailed)/(ended+doubtEnded)+more, leastPart), mostPart)
+// toleratedRate returns the rate of bad responses that still counts as no worse than the
+// old version.
+func toleratedRate(bad, ended, margin float64) float64 {
+	return min(max(toleranceFactor*(bad+priorFailures)/(ended+priorResponses)+margin, minRate), maxRate)
 }
 
-// grow adds to a sum what some answers, so many of them bad, say for a version that is
-// worse by a part than one that is likely.
-func grow(sum, ended, bad, like, more float64) float64 {
-	worse := min(like+more, (1+like)/2)
-	return max(0, sum+bad*math.Log(worse/like)+(ended-bad)*math.Log((1-worse)/(1-like)))
+// updateScore adds the log-likelihood ratio of the responses, for a rate that is increased
+// over the tolerated one against the tolerated rate.
+func updateScore(score, ended, bad, tolerated, increase float64) float64 {
+	degraded := min(tolerated+increase, (1+tolerated)/2)
+	return max(0, score+bad*math.Log(degraded/tolerated)+(ended-bad)*math.Log((1-degraded)/(1-tolerated)))
 }
--- a/coordination/rollout/rollout_test.go
+++ b/coordination/rollout/rollout_test.go
@@ -15,17 +15,16 @@
 	"github.com/ryehill/ryehill/state/worker"
 )
 
-// seeds is how many plays of the model each case has; a thousand take ten minutes.
+// seeds is the number of simulations per case.
 var seeds = flag.Int("rollout.seeds", 10, "plays of each case of the roll-out model")
 
-// A version that is as good as the old one is completed in time, and nothing is under way
-// at old workers then.
+// Guards against rolling back a good version, missing the deadline, or ending busy workers.
 func TestGoodVersionsAreCompletedInTime(t *testing.T) {
 	for name, change := range map[string]func(*model){
-		"calm":                          func(*model) {},
-		"a service that is ill in both": func(m *model) { m.ill = 0.08 },
-		"few requests":                  func(m *model) { m.perS = 60 },
-		"many keys":                     func(m *model) { m.keys, m.slots = 4000, 3*modelSlots },
+		"steady":                    func(*model) {},
+		"failures in both versions": func(m *model) { m.baseFailures = 0.08 },
+		"few requests":              func(m *model) { m.rate = 60 },
+		"many keys":                 func(m *model) { m.keys, m.slots = 4000, 3*modelSlots },
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -38,35 +37,34 @@
 					rolledBack++
 					t.Logf("seed %d: %s after %s: %s", seed, m.phase, m.done, m.reason)
 				}
-				if m.lost > 0 {
-					t.Errorf("seed %d: %d requests were under way at old workers", seed, m.lost)
+				if m.inFlightAtEnd > 0 {
+					t.Errorf("seed %d: %d requests were under way at old workers", seed, m.inFlightAtEnd)
 				}
 				if m.done > modelDuration {
 					late++
 				}
 			}
 			if rolledBack > 0 || late > 0 {
-				t.Errorf("of %d good versions %d were not completed, %d too late", *seeds, rolledBack, late)
+				t.Errorf("of %d good versions %d were not completed and %d were late", *seeds, rolledBack, late)
 			}
 		})
 	}
 }
 
-// A bad version is rolled back before the end of its time, and never gets more than its
-// share.
+// Guards against keeping a bad version, and against giving it more than its share.
 func TestBadVersionsAreRolledBack(t *testing.T) {
 	for name, f := range map[string]fault{
-		"fails at once":           {part: 0.3},
-		"fails now and then":      {part: 0.1},
-		"all fail":                {part: 1},
-		"fails later":             {part: 0.3, after: 7 * time.Second},
-		"fails under load":        {part: 0.3, underLoad: true},
-		"fails on one route":      {part: 0.3, route: "/1/"},
-		"slow at once":            {part: 0.5, times: 4},
-		"slow later":              {part: 0.5, times: 5, after: 6 * time.Second},
-		"slow on one route":       {part: 0.6, times: 5, route: "/2/"},
-		"all slow":                {part: 1, times: 3},
-		"fails just before shift": {part: 0.4, after: 10 * time.Second},
+		"fails at once":           {fraction: 0.3},
+		"fails sometimes":         {fraction: 0.1},
+		"all fail":                {fraction: 1},
+		"fails later":             {fraction: 0.3, start: 7 * time.Second},
+		"fails under load":        {fraction: 0.3, underLoad: true},
+		"fails on one route":      {fraction: 0.3, route: "/1/"},
+		"slow at once":            {fraction: 0.5, slowdown: 4},
+		"slow later":              {fraction: 0.5, slowdown: 5, start: 6 * time.Second},
+		"slow on one route":       {fraction: 0.6, slowdown: 5, route: "/2/"},
+		"all slow":                {fraction: 1, slowdown: 3},
+		"fails just before shift": {fraction: 0.4, start: 10 * time.Second},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -79,8 +77,8 @@
 					missed++
 					t.Logf("seed %d: %s after %s: %s", seed, m.phase, m.done, m.reason)
 				}
-				if over := m.overShare(); over > 0 {
-					t.Errorf("seed %d: the version got %.0f requests more than its share of %d", seed, over, m.requests)
+				if over := m.excess(); over > 0 {
+					t.Errorf("seed %d: the new version got %.0f requests more than its share of %d", seed, over, m.requests)
 				}
 			}
 			if missed > 0 {
@@ -90,14 +88,13 @@
 	}
 }
 
-// Whatever is heard of a roll-out, and when: a version that is not proved gets no more than
-// its share of each VM's requests.
-func TestShareHoldsByItself(t *testing.T) {
+// Guards against an unproved version getting more than its share of one VM's requests.
+func TestSplitterStaysWithinShare(t *testing.T) {
 	now := time.Unix(1000, 0)
 	newShare := func() *rolling.Share {
 		return rolling.NewShare(rolling.ShareConfig{Service: "s", Version: 2, Part: 0.1, Now: func() time.Time { return now }})
 	}
-	Convey("In a shift, one VM stays within a tenth of its requests", t, func() {
+	Convey("In the shift, one VM stays within a tenth of its requests", t, func() {
 		s := newShare()
 		s.Hear(rolling.Step{Phase: rollout.PhaseShift})
 		for range 1000 {
@@ -106,7 +103,7 @@
 			So(float64(sent), ShouldBeLessThanOrEqualTo, 0.1*float64(requests)+1)
 		}
 	})
-	Convey("Before any word, after a roll-back and once the word is old, nothing goes there", t, func() {
+	Convey("Before any step, after a rollback and once the step has expired, the new version gets nothing", t, func() {
 		s := newShare()
 		sends := func() bool {
 			for key := range uint64(2000) {
@@ -125,17 +122,17 @@
 		So(sends(), ShouldBeTrue)
 		s.Hear(rolling.Step{Phase: rollout.PhaseRolledBack})
 		So(sends(), ShouldBeFalse)
-		s.Hear(rolling.Step{Phase: rollout.PhaseProved}) // An old word, heard late.
+		s.Hear(rolling.Step{Phase: rollout.PhaseProved}) // a late step
 		So(sends(), ShouldBeFalse)
 	})
-	Convey("What failed at the new version is tried again at the old one", t, func() {
+	Convey("Retries go to the old version", t, func() {
 		s := newShare()
 		s.Hear(rolling.Step{Phase: rollout.PhaseShift})
 		for range 100 {
 			So(s.Choose("r", 1, true), ShouldEqual, worker.TrackStable)
 		}
 	})
-	Convey("A VM stops by its own requests, whatever it is told", t, func() {
+	Convey("A VM stops on its own failures, whatever the decider says", t, func() {
 		s := newShare()
 		s.Hear(rolling.Step{Phase: rollout.PhaseShift})
 		failed := 0
@@ -150,13 +147,12 @@
 			s.Hear(rolling.Step{Phase: rollout.PhaseShift})
 		}
 		So(failed, ShouldBeLessThan, 30)
-		s.Hear(rolling.Step{Phase: rollout.PhaseProved}) // All together have found it to be sound.
+		s.Hear(rolling.Step{Phase: rollout.PhaseProved}) // proved by the reports of all VMs
 		So(s.Choose("r", 1, false), ShouldEqual, worker.TrackNew)
 	})
 }
 
-// While new workers have no room, old ones that are still there serve what they cannot, and
-// the order waits; once the old ones are to end, nothing goes there.
+// Guards against losing requests that new workers cannot hold, or using closed old workers.
 func TestOldWorkersServeWhatNewOnesCannot(t *testing.T) {
 	Convey("A proved version whose workers are full", t, func() {
 		s := rolling.NewShare(rolling.ShareConfig{Service: "s", Version: 2, Part: 0.1, Now: func() time.Time { return time.Unix(1000, 0) }})
@@ -169,7 +165,7 @@
 		s.Hear(rolling.Step{Phase: rollout.PhaseProved, Closed: true})
 		So(falls(), ShouldBeFalse)
 	})
-	Convey("The order waits while many requests are at old workers", t, func() {
+	Convey("The order waits while many requests are in flight at old workers", t, func() {
 		d := rolling.NewDecider(rolling.DeciderConfig{Order: rollout.Order{Service: "s", Version: 2, Duration: modelDuration}})
 		r := rollout.NewReport()
 		r.VMs[rollout.PhaseProved], r.UnderWayOld, r.UnderWayNew = 9, 20, 100
@@ -183,10 +179,9 @@
 	})
 }
 
-// A VM that the decider does not reach keeps the order from being completed while it counts,
-// and sends the new version nothing once its permission is over.
+// Guards against completing an order while a live VM has not reported.
 func TestVMsThatAreNotReached(t *testing.T) {
-	Convey("An order waits for a VM that is live and does not answer", t, func() {
+	Convey("An order waits for a live VM that does not answer", t, func() {
 		d := rolling.NewDecider(rolling.DeciderConfig{Order: rollout.Order{Service: "s", Version: 2, Duration: modelDuration}})
 		r := rollout.NewReport()
 		r.VMs[rollout.PhaseProved] = 9
@@ -199,14 +194,14 @@
 		So(d.Decide(rolling.Inputs{Now: now, Left: time.Second, Report: r, VMs: 9, Slots: 9}).Closed, ShouldBeTrue)
 		So(d.Decide(rolling.Inputs{Now: now, Left: time.Second, Report: r, VMs: 9, Slots: 9}).Phase, ShouldEqual, rollout.PhaseCompleted)
 	})
-	Convey("A decider takes over what another one has decided", t, func() {
+	Convey("A decider adopts the decisions of another one", t, func() {
 		d := rolling.NewDecider(rolling.DeciderConfig{Order: rollout.Order{Service: "s", Version: 2, Duration: modelDuration}})
 		r := rollout.NewReport()
 		r.VMs[rollout.PhaseProved], r.VMs[rollout.PhaseRolledBack] = 5, 1
 		step := d.Decide(rolling.Inputs{Now: time.Unix(1000, 0), Left: time.Second, Report: r, VMs: 6, Slots: 9})
 		So(step.Phase, ShouldEqual, rollout.PhaseRolledBack)
 	})
-	Convey("The new version does not get everything while its workers are too few for what came lately", t, func() {
+	Convey("The shift waits until the new workers have capacity for the recent peak", t, func() {
 		d := rolling.NewDecider(rolling.DeciderConfig{Order: rollout.Order{Service: "s", Version: 2, Duration: modelDuration}})
 		r := rollout.NewReport()
 		r.VMs[rollout.PhaseTrial], r.UnderWayOld = 6, 100
@@ -220,7 +215,7 @@
 		in.OldSlots = 110
 		So(d.Decide(in).Phase, ShouldEqual, rollout.PhaseShift)
 	})
-	Convey("Nothing begins before there are workers of the new version", t, func() {
+	Convey("The trial waits for workers of the new version", t, func() {
 		d := rolling.NewDecider(rolling.DeciderConfig{Order: rollout.Order{Service: "s", Version: 2, Duration: modelDuration}})
 		r := rollout.NewReport()
 		So(d.Decide(rolling.Inputs{Now: time.Unix(1000, 0), Left: time.Second, Report: r, VMs: 6}).Phase, ShouldEqual, rollout.PhaseOrdered)
--- a/coordination/rollout/share.go
+++ b/coordination/rollout/share.go
@@ -14,80 +14,82 @@
 )
 
 const (
-	// usedShare is the part of the allowed share that is used: VMs count requests when
-	// they send them, and some that were counted are never sent.
-	usedShare = 0.9
-	// warmPart is the part of the requests that go ahead to the workers which are to
-	// hold their keys.
-	warmPart = 0.02
-	// controlPart is the part of the keys that stay with the old version in the shift, so
-	// that the new one is compared with what the old one does at that time.
-	controlPart = 0.1
-	// term is for how long the decider's word holds, provedTerm for how long the word
-	// that a version is proved does: old workers may be gone after it.
-	term       = 2 * time.Second
-	provedTerm = 4 * time.Second
-	// maxOpen bounds the requests under way whose time is looked at before they end.
-	maxOpen = 4096
-	// maxSubjects bounds what requests are counted by.
-	maxSubjects = 512
+	// shareMargin is the fraction of the permitted share that is used: VMs count
+	// requests when they choose a track, and some of these are never sent.
+	shareMargin = 0.9
+	// warmUpFraction is the fraction of requests sent ahead to the workers that will
+	// serve their keys.
+	warmUpFraction = 0.02
+	// controlFraction is the fraction of keys that stay with the old version in the
+	// shift, so that both versions are measured under the same conditions.
+	controlFraction = 0.1
+	// stepTTL is how long a step is valid unless renewed, provedTTL the same for
+	// PhaseProved, after which old workers may be gone.
+	stepTTL   = 2 * time.Second
+	provedTTL = 4 * time.Second
+	// maxTracked bounds the requests in flight that are checked for slowness before
+	// they finish.
+	maxTracked = 4096
+	// maxTallies bounds the tallies of each version.
+	maxTallies = 512
 )
 
-// ShareConfig sets up a Share. Service, Version and Now are required.
+// ShareConfig configures a Splitter. Service, Version and Now are required.
 type ShareConfig struct {
 	Service string
 	Version rollout.Version
-	// Part is the part of the service's requests that the new version may get while it
-	// is not proved, 0 to 1.
+	// Part is the maximum fraction of the service's requests that go to the new
+	// version before it is proved, 0 to 1.
 	Part float64
 	Now  func() time.Time
 }
 
-// Share is one VM's part in a roll-out: which of its requests go to the new version, and
-// what came of them. It is safe for concurrent use.
+// Share splits one VM's requests between the old and the new version during a rollout and
+// records their results. It is safe for concurrent use.
 type Share struct {
 	cfg ShareConfig
 
-	mu    sync.Mutex
-	phase rollout.Phase
-	until time.Time
-	step  Step
-	// requests and sent are this VM's requests since the order, and those that it has
-	// sent to the new version; start is a part of a request that is allowed at once, by
-	// chance, so that VMs with few requests do not all begin at nothing.
+	mu      sync.Mutex
+	phase   rollout.Phase
+	expires time.Time
+	step    Step
+	// requests counts this VM's requests since the order, and sent those that went to
+	// the new version. start is a random fraction of a request that is permitted at
+	// once, so that not all VMs with little traffic begin with none.
 	requests, sent, start float64
-	// bad is set once this VM's own requests show that the version is bad.
-	bad    bool
-	judge  Judge
-	report rollout.Report
-	open   map[*Try]struct{}
+	// suspended is set once this VM's own requests show that the version is bad.
+	suspended bool
+	analyzer  Analyzer
+	report    rollout.Report
+	inFlight  map[*Try]struct{}
 }
 
-// NewShare returns a share of an order that nothing is known of.
+// NewShare returns a splitter that has received no step.
 func NewShare(cfg ShareConfig) *Share {
-	return &Share{cfg: cfg, start: rand.Float64(), report: rollout.NewReport(), open: make(map[*Try]struct{})}
+	return &Share{cfg: cfg, start: rand.Float64(), report: rollout.NewReport(), inFlight: make(map[*Try]struct{})}
 }
 
-// Version returns the version that is brought in.
+// Version returns the version that is rolled out.
 func (s *Share) Version() rollout.Version { return s.cfg.Version }
 
-// Hear takes in a step of the VM that decides, and reports whether the phase is a new one.
+// Hear applies a step of the decider, and reports whether the phase advanced. A step of an
+// earlier phase is ignored.
 func (s *Share) Hear(step Step) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if step.Phase < s.phase {
 		return false
 	}
-	news := step.Phase > s.phase
+	advanced := step.Phase > s.phase
 	s.phase, s.step = step.Phase, step
-	s.until = s.cfg.Now().Add(term)
+	s.expires = s.cfg.Now().Add(stepTTL)
 	if s.phase == rollout.PhaseProved {
-		s.until = s.cfg.Now().Add(provedTerm)
+		s.expires = s.cfg.Now().Add(provedTTL)
 	}
-	return news
+	return advanced
 }
 
-// Step returns the step that this VM has heard of last.
+// Step returns the latest step.
 func (s *Share) Step() Step {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -96,51 +98,51 @@
 	return step
 }
 
-// Phase returns the phase that this VM has heard of last.
+// Phase returns the latest phase.
 func (s *Share) Phase() rollout.Phase {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.phase
 }
 
-// Counts returns this VM's requests since the order, and those that it has sent to the new
-// version.
+// Counts returns the number of this VM's requests since the order, and of those sent to the
+// new version.
 func (s *Share) Counts() (requests, sent int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return int(s.requests), int(s.sent)
 }
 
-// Choose says which workers a request may go to. The key is that of its affinity, or any
-// number of its own. A request that is tried again goes to the old version, unless the new
-// one is proved: what failed there is not to fail again.
-func (s *Share) Choose(route string, key uint64, again bool) worker.Track {
+// Choose returns which workers a request may use. The key is its affinity key's hash, or a
+// random number. A retry goes to the old version unless the new one is proved, so that
+// it does not fail there again.
+func (s *Share) Choose(route string, key uint64, retry bool) worker.Track {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.requests++
-	track := s.choose(route, key, again)
+	track := s.selectTrack(route, key, retry)
 	if track != worker.TrackStable {
 		s.sent++
 	}
 	return track
 }
 
-func (s *Share) choose(route string, key uint64, again bool) worker.Track {
-	switch s.phaseNow() {
+func (s *Share) selectTrack(route string, key uint64, retry bool) worker.Track {
+	switch s.effectivePhase() {
 	case rollout.PhaseProved, rollout.PhaseCompleted:
 		return worker.TrackNew
 	case rollout.PhaseTrial:
-		if again || !s.allowed() {
+		if retry || !s.withinShare() {
 			return worker.TrackStable
 		}
-		if tried(key, s.cfg.Version, max(s.step.Parts[route], worker.CanaryPart)) {
+		if inFraction(key, s.cfg.Version, max(s.step.Parts[route], worker.CanaryPart)) {
 			return worker.TrackCanary
 		}
-		if s.step.WarmUp && rand.Float64() < warmPart {
+		if s.step.WarmUp && rand.Float64() < warmUpFraction {
 			return worker.TrackNew
 		}
 	case rollout.PhaseShift:
-		if !again && !tried(key, s.cfg.Version+1, controlPart) && s.allowed() {
+		if !retry && !inFraction(key, s.cfg.Version+1, controlFraction) && s.withinShare() {
 			return worker.TrackNew
 		}
 	default:
@@ -148,91 +150,91 @@
 	return worker.TrackStable
 }
 
-// phaseNow returns the phase that binds this VM now. A word that was not renewed holds no
-// more, unless nothing follows it.
-func (s *Share) phaseNow() rollout.Phase {
+// effectivePhase returns the phase that applies now. An expired step no longer applies,
+// unless its phase is final.
+func (s *Share) effectivePhase() rollout.Phase {
 	switch {
 	case s.phase.Final():
 		return s.phase
-	case s.bad && s.phase < rollout.PhaseProved, !s.cfg.Now().Before(s.until):
+	case s.suspended && s.phase < rollout.PhaseProved, !s.cfg.Now().Before(s.expires):
 		return rollout.PhaseOrdered
 	}
 	return s.phase
 }
 
-// allowed reports whether the new version may get one more request. The sum over all VMs
-// stays within the share of all requests, whatever each of them hears.
-func (s *Share) allowed() bool { return s.sent+1 <= usedShare*s.cfg.Part*s.requests+s.start }
+// withinShare reports whether the new version may get one more request. Since each VM keeps
+// this bound on its own, it holds for all VMs together.
+func (s *Share) withinShare() bool { return s.sent+1 <= shareMargin*s.cfg.Part*s.requests+s.start }
 
-// tried reports whether a key is among the part of the keys that is tried out.
-func tried(key uint64, version rollout.Version, part float64) bool {
-	const spread = 0x9e3779b97f4a7c15
-	hash := (key ^ uint64(version)*spread) * spread
-	return float64(hash^hash>>32)/math.MaxUint64 < part
+// inFraction reports whether a key belongs to a fraction of the keys.
+func inFraction(key uint64, version rollout.Version, fraction float64) bool {
+	const mix = 0x9e3779b97f4a7c15
+	hash := (key ^ uint64(version)*mix) * mix
+	return float64(hash^hash>>32)/math.MaxUint64 < fraction
 }
 
-// Withdraw takes back a choice of the new version, and reports whether the old one may
-// serve the request in its place.
+// Withdraw reverts the choice of the new version, and reports whether the old version may
+// serve the request instead.
 func (s *Share) Withdraw() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.sent--
-	return s.phaseNow() < rollout.PhaseProved || s.phase == rollout.PhaseProved && !s.step.Closed
+	return s.effectivePhase() < rollout.PhaseProved || s.phase == rollout.PhaseProved && !s.step.Closed
 }
 
-// Try is a request at a worker.
+// Try is one attempt of a request at a worker.
 type Try struct {
 	share *Share
 	route string
-	// life is the worker of the trial, "" for any other of the new version.
-	life  string
-	track worker.Track
-	key   uint64
-	begun time.Time
+	// incarnation identifies the canary worker, "" for other workers.
+	incarnation string
+	track       worker.Track
+	key         uint64
+	started     time.Time
 }
 
-// Sent notes that a request was sent to a worker, whose life is given.
-func (s *Share) Sent(track worker.Track, route, life string, key uint64) *Try {
-	t := &Try{share: s, route: route, track: track, key: key, begun: s.cfg.Now()}
+// Sent records that a request was sent to an incarnation of a worker.
+func (s *Share) Sent(track worker.Track, route, incarnation string, key uint64) *Try {
+	t := &Try{share: s, route: route, track: track, key: key, started: s.cfg.Now()}
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if track == worker.TrackCanary {
-		t.life = life
+		t.incarnation = incarnation
 		s.report.Keys.Add(key)
 	}
-	if track != worker.TrackStable && len(s.open) < maxOpen {
-		s.open[t] = struct{}{}
+	if track != worker.TrackStable && len(s.inFlight) < maxTracked {
+		s.inFlight[t] = struct{}{}
 	}
 	return t
 }
 
-// Ended notes how the request ended. One that says nothing of its worker, such as a
-// refusal or one whose client has left, is not counted.
-func (t *Try) Ended(counts, failed bool) {
+// Ended records the end of the attempt. An inconclusive one, such as a refusal or a
+// client that disconnected, is not counted.
+func (t *Try) Ended(conclusive, failed bool) {
 	s := t.share
-	took := s.cfg.Now().Sub(t.begun)
+	took := s.cfg.Now().Sub(t.started)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	delete(s.open, t)
-	if !counts || s.phase == rollout.PhaseOrdered {
+	delete(s.inFlight, t)
+	if !conclusive || s.phase == rollout.PhaseOrdered {
 		return
 	}
 	tally := rollout.Tally{Ended: 1, LogMillis: math.Log(max(float64(took)/float64(time.Millisecond), 1))}
 	if failed {
 		tally.Failed = 1
-	} else if s.slow(t.route, took) && t.track != worker.TrackNew {
+	} else if s.isSlow(t.route, took) && t.track != worker.TrackNew {
 		tally.Slow = 1
 	}
-	s.count(t, tally)
-	if failed && t.track != worker.TrackStable && !s.bad {
-		_, s.bad = s.judge.Add(s.cfg.Now(), &s.report)
+	s.addTally(t, tally)
+	if failed && t.track != worker.TrackStable && !s.suspended {
+		_, s.suspended = s.analyzer.Add(s.cfg.Now(), &s.report)
 	}
 }
 
-// count adds to the tallies. What is beyond their bound is counted with all others.
-func (s *Share) count(t *Try, tally rollout.Tally) {
+// addTally adds to the tallies. Beyond maxTallies, new routes and workers are ignored.
+func (s *Share) addTally(t *Try, tally rollout.Tally) {
 	if t.track == worker.TrackStable {
-		if _, ok := s.report.Old[t.route]; !ok && len(s.report.Old) >= maxSubjects {
+		if _, ok := s.report.Old[t.route]; !ok && len(s.report.Old) >= maxTallies {
 			return
 		}
 		sum := s.report.Old[t.route]
@@ -240,8 +242,8 @@
 		s.report.Old[t.route] = sum
 		return
 	}
-	subject := rollout.Subject{Route: t.route, Worker: t.life}
-	if _, ok := s.report.New[subject]; !ok && len(s.report.New) >= maxSubjects {
+	subject := rollout.Subject{Route: t.route, Worker: t.incarnation}
+	if _, ok := s.report.New[subject]; !ok && len(s.report.New) >= maxTallies {
 		return
 	}
 	sum := s.report.New[subject]
@@ -249,14 +251,14 @@
 	s.report.New[subject] = sum
 }
 
-// slow reports whether a time is longer than the old version takes.
-func (s *Share) slow(route string, took time.Duration) bool {
+// isSlow reports whether a latency exceeds the route's slow threshold.
+func (s *Share) isSlow(route string, took time.Duration) bool {
 	limit, ok := s.step.SlowAfter[route]
 	return ok && took > limit
 }
 
-// Report returns what this VM has seen. Requests of the trial that have taken too long
-// already count as slow, though they have not ended.
+// Report returns this VM's observations. Canary requests in flight that already exceed
+// the slow threshold count as slow.
 func (s *Share) Report() rollout.Report {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -264,9 +266,9 @@
 	r.Join(s.report)
 	r.VMs[s.phase] = 1
 	now := s.cfg.Now()
-	for t := range s.open {
-		if t.track == worker.TrackCanary && s.slow(t.route, now.Sub(t.begun)) {
-			subject := rollout.Subject{Route: t.route, Worker: t.life}
+	for t := range s.inFlight {
+		if t.track == worker.TrackCanary && s.isSlow(t.route, now.Sub(t.started)) {
+			subject := rollout.Subject{Route: t.route, Worker: t.incarnation}
 			sum := r.New[subject]
 			sum.Add(rollout.Tally{Ended: 1, Slow: 1})
 			r.New[subject] = sum
--- a/scripts/switch-off.sh
+++ b/scripts/switch-off.sh
@@ -158,7 +158,7 @@
 off quarantine-answered coordination/poison/poison.go 'ok && !s.found {
 		delete' 'ok && !s.found && false {
 		delete' ./coordination/poison TestDetector
-off quarantine-explained coordination/poison/poison.go 'e.explained = true' '_ = e' ./coordination/poison TestDetector
+off quarantine-explained coordination/poison/poison.go 'c.explained = true' '_ = c' ./coordination/poison TestDetector
 off soak-poison internal/gateway/quarantine.go 'if !g.quarantines.table.Hear(e) {' 'if true {' ./platform 'TestSoak/seed_9002'
 off lives-apart state/worker/worker.go 'return id + "@" + strconv.FormatUint(start, 36)' 'return id + strconv.FormatUint(start, 36)[:0]' ./internal/gateway TestNothingOfAnEarlierLife
 off older-life internal/gateway/compile.go 'if w.Start < before.Start {' 'if false {' ./internal/gateway TestNewestLife
@@ -192,8 +192,8 @@
 off rest-moves-few coordination/placement/placement.go 'if r.displaced {' 'if false && r.displaced {' ./internal/experiment TestRestsKept
 off rest-keeps-regions coordination/placement/placement.go 'p.destination(s, r, workers.all())' 'p.destination(s, r, workers.awake)' ./coordination/placement TestRestMovesOnly
 off clock-sleeps internal/clock/clock.go 's.slept = slept' '' ./internal/clock TestSuspensionsCount
-off rollout-share coordination/rollout/share.go 's.sent+1 <= usedShare*s.cfg.Part*s.requests+s.start' 's.sent+1 <= usedShare*s.requests+s.start' ./coordination/rollout 'TestShareHoldsByItself|TestBadVersions'
-off rollout-term coordination/rollout/share.go '!s.cfg.Now().Before(s.until):' 'false:' ./coordination/rollout TestShareHoldsByItself
+off rollout-share coordination/rollout/share.go 's.sent+1 <= shareMargin*s.cfg.Part*s.requests+s.start' 's.sent+1 <= shareMargin*s.requests+s.start' ./coordination/rollout 'TestSplitterStaysWithinShare|TestBadVersions'
+off rollout-term coordination/rollout/share.go '!s.cfg.Now().Before(s.expires):' 'false:' ./coordination/rollout TestSplitterStaysWithinShare
 off rollout-judge coordination/rollout/decider.go 'if bad && d.Phase() < rollout.PhaseProved {' 'if bad && false {' ./coordination/rollout TestBadVersionsAreRolledBack
 off rollout-ordered-only internal/gateway/rollouts.go 'case w.Version == o.version && o.phase != rollout.PhaseRolledBack:' 'case o.phase != rollout.PhaseRolledBack:' ./internal/gateway TestVersionsInUse
 off rollout-waits-for-all coordination/rollout/decider.go 'case proved < in.VMs:' 'case false:' ./coordination/rollout TestVMsThatAreNotReached
