--- a/scripts/switch-off.sh
+++ b/scripts/switch-off.sh
@@ -192,12 +192,12 @@
 off rest-moves-few coordination/placement/placement.go 'if r.displaced {' 'if false && r.displaced {' ./internal/experiment TestRestsKept
 off rest-keeps-regions coordination/placement/placement.go 'p.destination(s, r, workers.all())' 'p.destination(s, r, workers.awake)' ./coordination/placement TestRestMovesOnly
 off clock-sleeps internal/clock/clock.go 's.slept = slept' '' ./internal/clock TestSuspensionsCount
-off rollout-share coordination/rollout/share.go 's.sent+1 <= shareMargin*s.cfg.Part*s.requests+s.start' 's.sent+1 <= shareMargin*s.requests+s.start' ./coordination/rollout 'TestSplitterStaysWithinShare|TestBadVersions'
-off rollout-term coordination/rollout/share.go '!s.cfg.Now().Before(s.expires):' 'false:' ./coordination/rollout TestSplitterStaysWithinShare
+off rollout-share coordination/rollout/splitter.go 's.sent+1 <= shareMargin*s.cfg.Part*s.requests+s.start' 's.sent+1 <= shareMargin*s.requests+s.start' ./coordination/rollout 'TestSplitterStaysWithinShare|TestBadVersions'
+off rollout-term coordination/rollout/splitter.go '!s.cfg.Now().Before(s.expires):' 'false:' ./coordination/rollout TestSplitterStaysWithinShare
 off rollout-judge coordination/rollout/decider.go 'if bad && d.Phase() < rollout.PhaseProved {' 'if bad && false {' ./coordination/rollout TestBadVersionsAreRolledBack
 off rollout-ordered-only internal/gateway/rollouts.go 'case w.Version == o.version && o.phase != rollout.PhaseRolledBack:' 'case o.phase != rollout.PhaseRolledBack:' ./internal/gateway TestVersionsInUse
 off rollout-waits-for-all coordination/rollout/decider.go 'case proved < in.VMs:' 'case false:' ./coordination/rollout TestVMsThatAreNotReached
-off rollout-closes coordination/rollout/share.go 's.phase == rollout.PhaseProved && !s.step.Closed' 's.phase == rollout.PhaseProved' ./coordination/rollout TestOldWorkersServe
+off rollout-closes coordination/rollout/splitter.go 's.phase == rollout.PhaseProved && !s.step.Closed' 's.phase == rollout.PhaseProved' ./coordination/rollout TestOldWorkersServe
 off list-read-once internal/gateway/watch.go 'if !known || content == c.listed {' 'if !known {' ./internal/gateway TestListOfVMsIsRead
 off given-up-is-reset transport/upstream/conn.go '_ = tcp.SetLinger(0)' '_ = tcp' ./transport/upstream TestRequestThatWasGivenUp
 exit $missed
