--- a/coordination/rollout/analyzer.go
+++ b/coordination/rollout/analyzer.go
@@ -178,14 +178,14 @@
 func (a *Analyzer) takeDeltas(r *rollout.Report) map[string]rollout.Tally {
 	excluded := outliersByRoute(r)
 	deltas := make(map[string]rollout.Tally)
-	for subject, t := range r.New {
-		delta := t.Since(a.counted[subject])
-		a.counted[subject] = t
+	for key, t := range r.New {
+		delta := t.Since(a.counted[key])
+		a.counted[key] = t
 		if delta.Ended == 0 {
 			continue
 		}
-		for _, route := range []string{subject.Route, allRoutes} {
-			if excluded[rollout.Subject{Route: route, Worker: subject.Worker}] {
+		for _, route := range []string{key.Route, allRoutes} {
+			if excluded[rollout.Subject{Route: route, Worker: key.Worker}] {
 				continue
 			}
 			sum := deltas[route]
@@ -215,17 +215,17 @@
 // overall, and so may be unhealthy themselves.
 func outliersByRoute(r *rollout.Report) map[rollout.Subject]bool {
 	byRoute := make(map[string]map[string]rollout.Tally)
-	for subject, t := range r.New {
-		if subject.Worker == "" {
+	for key, t := range r.New {
+		if key.Worker == "" {
 			continue
 		}
-		for _, route := range []string{subject.Route, allRoutes} {
+		for _, route := range []string{key.Route, allRoutes} {
 			if byRoute[route] == nil {
 				byRoute[route] = make(map[string]rollout.Tally)
 			}
-			sum := byRoute[route][subject.Worker]
+			sum := byRoute[route][key.Worker]
 			sum.Add(t)
-			byRoute[route][subject.Worker] = sum
+			byRoute[route][key.Worker] = sum
 		}
 	}
 	excluded := make(map[rollout.Subject]bool)
--- a/coordination/rollout/decider.go
+++ b/coordination/rollout/decider.go
@@ -23,8 +23,8 @@
 // # Usage
 //
 //	d := rollout.NewDecider(rollout.DeciderConfig{Order: order})
-//	step := d.Decide(rollout.Inputs{Left: left, Report: report, VMs: 12, Slots: 60})
-//	if step.Phase == state.PhaseCompleted { /* write it */ }
+//	step := d.Decide(rollout.Inputs{TimeLeft: left, Report: report, VMs: 12, Slots: 60})
+//	if step.Phase == state.PhaseCompleted { /* store it */ }
 package rollout
 
 import (
--- a/coordination/rollout/rollout_test.go
+++ b/coordination/rollout/rollout_test.go
@@ -91,11 +91,11 @@
 // Guards against an unproved version getting more than its share of one VM's requests.
 func TestSplitterStaysWithinShare(t *testing.T) {
 	now := time.Unix(1000, 0)
-	newShare := func() *rolling.Share {
+	newSplitter := func() *rolling.Share {
 		return rolling.NewShare(rolling.ShareConfig{Service: "s", Version: 2, Part: 0.1, Now: func() time.Time { return now }})
 	}
 	Convey("In the shift, one VM stays within a tenth of its requests", t, func() {
-		s := newShare()
+		s := newSplitter()
 		s.Hear(rolling.Step{Phase: rollout.PhaseShift})
 		for range 1000 {
 			s.Choose("r", 7, false)
@@ -104,7 +104,7 @@
 		}
 	})
 	Convey("Before any step, after a rollback and once the step has expired, the new version gets nothing", t, func() {
-		s := newShare()
+		s := newSplitter()
 		sends := func() bool {
 			for key := range uint64(2000) {
 				if s.Choose("r", key*0x9e3779b97f4a7c15, false) != worker.TrackStable {
@@ -126,14 +126,14 @@
 		So(sends(), ShouldBeFalse)
 	})
 	Convey("Retries go to the old version", t, func() {
-		s := newShare()
+		s := newSplitter()
 		s.Hear(rolling.Step{Phase: rollout.PhaseShift})
 		for range 100 {
 			So(s.Choose("r", 1, true), ShouldEqual, worker.TrackStable)
 		}
 	})
 	Convey("A VM stops on its own failures, whatever the decider says", t, func() {
-		s := newShare()
+		s := newSplitter()
 		s.Hear(rolling.Step{Phase: rollout.PhaseShift})
 		failed := 0
 		for range 2000 {
--- a/coordination/rollout/splitter.go
+++ b/coordination/rollout/splitter.go
@@ -184,8 +184,8 @@
 
 // Try is one attempt of a request at a worker.
 type Try struct {
-	share *Share
-	route string
+	splitter *Share
+	route    string
 	// incarnation identifies the canary worker, "" for other workers.
 	incarnation string
 	track       worker.Track
@@ -195,7 +195,7 @@
 
 // Sent records that a request was sent to an incarnation of a worker.
 func (s *Share) Sent(track worker.Track, route, incarnation string, key uint64) *Try {
-	t := &Try{share: s, route: route, track: track, key: key, started: s.cfg.Now()}
+	t := &Try{splitter: s, route: route, track: track, key: key, started: s.cfg.Now()}
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if track == worker.TrackCanary {
@@ -211,7 +211,7 @@
 // Ended records the end of the attempt. An inconclusive one, such as a refusal or a
 // client that disconnected, is not counted.
 func (t *Try) Ended(conclusive, failed bool) {
-	s := t.share
+	s := t.splitter
 	took := s.cfg.Now().Sub(t.started)
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -242,13 +242,13 @@
 		s.report.Old[t.route] = sum
 		return
 	}
-	subject := rollout.Subject{Route: t.route, Worker: t.incarnation}
-	if _, ok := s.report.New[subject]; !ok && len(s.report.New) >= maxTallies {
+	tallyKey := rollout.Subject{Route: t.route, Worker: t.incarnation}
+	if _, ok := s.report.New[tallyKey]; !ok && len(s.report.New) >= maxTallies {
 		return
 	}
-	sum := s.report.New[subject]
+	sum := s.report.New[tallyKey]
 	sum.Add(tally)
-	s.report.New[subject] = sum
+	s.report.New[tallyKey] = sum
 }
 
 // isSlow reports whether a latency exceeds the route's slow threshold.
@@ -268,10 +268,10 @@
 	now := s.cfg.Now()
 	for t := range s.inFlight {
 		if t.track == worker.TrackCanary && s.isSlow(t.route, now.Sub(t.started)) {
-			subject := rollout.Subject{Route: t.route, Worker: t.incarnation}
-			sum := r.New[subject]
+			tallyKey := rollout.Subject{Route: t.route, Worker: t.incarnation}
+			sum := r.New[tallyKey]
 			sum.Add(rollout.Tally{Ended: 1, Slow: 1})
-			r.New[subject] = sum
+			r.New[tallyKey] = sum
 		}
 	}
 	return r
--- a/state/rollout/report.go
+++ b/state/rollout/report.go
@@ -73,10 +73,10 @@
 		sum.Add(t)
 		r.Old[route] = sum
 	}
-	for subject, t := range other.New {
-		sum := r.New[subject]
+	for key, t := range other.New {
+		sum := r.New[key]
 		sum.Add(t)
-		r.New[subject] = sum
+		r.New[key] = sum
 	}
 	r.UnderWayOld += other.UnderWayOld
 	r.UnderWayNew += other.UnderWayNew
@@ -105,10 +105,10 @@
 // Sum returns the tallies of the new version, summed by route.
 func (r *Report) Sum() map[string]Tally {
 	sums := make(map[string]Tally)
-	for subject, t := range r.New {
-		sum := sums[subject.Route]
+	for key, t := range r.New {
+		sum := sums[key.Route]
 		sum.Add(t)
-		sums[subject.Route] = sum
+		sums[key.Route] = sum
 	}
 	return sums
 }
