--- a/state/quarantine/quarantine.go
+++ b/state/quarantine/quarantine.go
@@ -12,7 +12,7 @@
 // # Usage
 //
 //	table := quarantine.NewTable()
-//	table.Merge(entry)
+//	table.Hear(entry)
 //	if entry, held := table.Find(target, fingerprint, time.Now()); held { /* do not send it */ }
 package quarantine
 
