--- /dev/null
+++ b/coordination/rollout/splitter.go
@@ -0,0 +1,278 @@
+// Copyright 2026 The ryehill Authors
+// SPDX-License-Identifier: Apache-2.0
+
+package rollout
+
+import (
+	"math"
+	"math/rand/v2"
+	"sync"
+	"time"
+
+	"github.com/ryehill/ryehill/state/rollout"
+	"github.com/ryehill/ryehill/state/worker"
+)
+
+const (
+	// shareMargin is the fraction of the permitted share that is used: VMs count
+	// requests when they choose a track, and some of these are never sent.
+	shareMargin = 0.9
+	// warmUpFraction is the fraction of requests sent ahead to the workers that will
+	// serve their keys.
+	warmUpFraction = 0.02
+	// controlFraction is the fraction of keys that stay with the old version in the
+	// shift, so that both versions are measured under the same conditions.
+	controlFraction = 0.1
+	// stepTTL is how long a step is valid unless renewed, provedTTL the same for
+	// PhaseProved, after which old workers may be gone.
+	stepTTL   = 2 * time.Second
+	provedTTL = 4 * time.Second
+	// maxTracked bounds the requests in flight that are checked for slowness before
+	// they finish.
+	maxTracked = 4096
+	// maxTallies bounds the tallies of each version.
+	maxTallies = 512
+)
+
+// ShareConfig configures a Splitter. Service, Version and Now are required.
+type ShareConfig struct {
+	Service string
+	Version rollout.Version
+	// Part is the maximum fraction of the service's requests that go to the new
+	// version before it is proved, 0 to 1.
+	Part float64
+	Now  func() time.Time
+}
+
+// Share splits one VM's requests between the old and the new version during a rollout and
+// records their results. It is safe for concurrent use.
+type Share struct {
+	cfg ShareConfig
+
+	mu      sync.Mutex
+	phase   rollout.Phase
+	expires time.Time
+	step    Step
+	// requests counts this VM's requests since the order, and sent those that went to
+	// the new version. start is a random fraction of a request that is permitted at
+	// once, so that not all VMs with little traffic begin with none.
+	requests, sent, start float64
+	// suspended is set once this VM's own requests show that the version is bad.
+	suspended bool
+	analyzer  Analyzer
+	report    rollout.Report
+	inFlight  map[*Try]struct{}
+}
+
+// NewShare returns a splitter that has received no step.
+func NewShare(cfg ShareConfig) *Share {
+	return &Share{cfg: cfg, start: rand.Float64(), report: rollout.NewReport(), inFlight: make(map[*Try]struct{})}
+}
+
+// Version returns the version that is rolled out.
+func (s *Share) Version() rollout.Version { return s.cfg.Version }
+
+// Hear applies a step of the decider, and reports whether the phase advanced. A step of an
+// earlier phase is ignored.
+func (s *Share) Hear(step Step) bool {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if step.Phase < s.phase {
+		return false
+	}
+	advanced := step.Phase > s.phase
+	s.phase, s.step = step.Phase, step
+	s.expires = s.cfg.Now().Add(stepTTL)
+	if s.phase == rollout.PhaseProved {
+		s.expires = s.cfg.Now().Add(provedTTL)
+	}
+	return advanced
+}
+
+// Step returns the latest step.
+func (s *Share) Step() Step {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	step := s.step
+	step.Phase = s.phase
+	return step
+}
+
+// Phase returns the latest phase.
+func (s *Share) Phase() rollout.Phase {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.phase
+}
+
+// Counts returns the number of this VM's requests since the order, and of those sent to the
+// new version.
+func (s *Share) Counts() (requests, sent int) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return int(s.requests), int(s.sent)
+}
+
+// Choose returns which workers a request may use. The key is its affinity key's hash, or a
+// random number. A retry goes to the old version unless the new one is proved, so that
+// it does not fail there again.
+func (s *Share) Choose(route string, key uint64, retry bool) worker.Track {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.requests++
+	track := s.selectTrack(route, key, retry)
+	if track != worker.TrackStable {
+		s.sent++
+	}
+	return track
+}
+
+func (s *Share) selectTrack(route string, key uint64, retry bool) worker.Track {
+	switch s.effectivePhase() {
+	case rollout.PhaseProved, rollout.PhaseCompleted:
+		return worker.TrackNew
+	case rollout.PhaseTrial:
+		if retry || !s.withinShare() {
+			return worker.TrackStable
+		}
+		if inFraction(key, s.cfg.Version, max(s.step.Parts[route], worker.CanaryPart)) {
+			return worker.TrackCanary
+		}
+		if s.step.WarmUp && rand.Float64() < warmUpFraction {
+			return worker.TrackNew
+		}
+	case rollout.PhaseShift:
+		if !retry && !inFraction(key, s.cfg.Version+1, controlFraction) && s.withinShare() {
+			return worker.TrackNew
+		}
+	default:
+	}
+	return worker.TrackStable
+}
+
+// effectivePhase returns the phase that applies now. An expired step no longer applies,
+// unless its phase is final.
+func (s *Share) effectivePhase() rollout.Phase {
+	switch {
+	case s.phase.Final():
+		return s.phase
+	case s.suspended && s.phase < rollout.PhaseProved, !s.cfg.Now().Before(s.expires):
+		return rollout.PhaseOrdered
+	}
+	return s.phase
+}
+
+// withinShare reports whether the new version may get one more request. Since each VM keeps
+// this bound on its own, it holds for all VMs together.
+func (s *Share) withinShare() bool { return s.sent+1 <= shareMargin*s.cfg.Part*s.requests+s.start }
+
+// inFraction reports whether a key belongs to a fraction of the keys.
+func inFraction(key uint64, version rollout.Version, fraction float64) bool {
+	const mix = 0x9e3779b97f4a7c15
+	hash := (key ^ uint64(version)*mix) * mix
+	return float64(hash^hash>>32)/math.MaxUint64 < fraction
+}
+
+// Withdraw reverts the choice of the new version, and reports whether the old version may
+// serve the request instead.
+func (s *Share) Withdraw() bool {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.sent--
+	return s.effectivePhase() < rollout.PhaseProved || s.phase == rollout.PhaseProved && !s.step.Closed
+}
+
+// Try is one attempt of a request at a worker.
+type Try struct {
+	splitter *Share
+	route    string
+	// incarnation identifies the canary worker, "" for other workers.
+	incarnation string
+	track       worker.Track
+	key         uint64
+	started     time.Time
+}
+
+// Sent records that a request was sent to an incarnation of a worker.
+func (s *Share) Sent(track worker.Track, route, incarnation string, key uint64) *Try {
+	t := &Try{splitter: s, route: route, track: track, key: key, started: s.cfg.Now()}
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if track == worker.TrackCanary {
+		t.incarnation = incarnation
+		s.report.Keys.Add(key)
+	}
+	if track != worker.TrackStable && len(s.inFlight) < maxTracked {
+		s.inFlight[t] = struct{}{}
+	}
+	return t
+}
+
+// Ended records the end of the attempt. An inconclusive one, such as a refusal or a
+// client that disconnected, is not counted.
+func (t *Try) Ended(conclusive, failed bool) {
+	s := t.splitter
+	took := s.cfg.Now().Sub(t.started)
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	delete(s.inFlight, t)
+	if !conclusive || s.phase == rollout.PhaseOrdered {
+		return
+	}
+	tally := rollout.Tally{Ended: 1, LogMillis: math.Log(max(float64(took)/float64(time.Millisecond), 1))}
+	if failed {
+		tally.Failed = 1
+	} else if s.isSlow(t.route, took) && t.track != worker.TrackNew {
+		tally.Slow = 1
+	}
+	s.addTally(t, tally)
+	if failed && t.track != worker.TrackStable && !s.suspended {
+		_, s.suspended = s.analyzer.Add(s.cfg.Now(), &s.report)
+	}
+}
+
+// addTally adds to the tallies. Beyond maxTallies, new routes and workers are ignored.
+func (s *Share) addTally(t *Try, tally rollout.Tally) {
+	if t.track == worker.TrackStable {
+		if _, ok := s.report.Old[t.route]; !ok && len(s.report.Old) >= maxTallies {
+			return
+		}
+		sum := s.report.Old[t.route]
+		sum.Add(tally)
+		s.report.Old[t.route] = sum
+		return
+	}
+	tallyKey := rollout.Subject{Route: t.route, Worker: t.incarnation}
+	if _, ok := s.report.New[tallyKey]; !ok && len(s.report.New) >= maxTallies {
+		return
+	}
+	sum := s.report.New[tallyKey]
+	sum.Add(tally)
+	s.report.New[tallyKey] = sum
+}
+
+// isSlow reports whether a latency exceeds the route's slow threshold.
+func (s *Share) isSlow(route string, took time.Duration) bool {
+	limit, ok := s.step.SlowAfter[route]
+	return ok && took > limit
+}
+
+// Report returns this VM's observations. Canary requests in flight that already exceed
+// the slow threshold count as slow.
+func (s *Share) Report() rollout.Report {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	r := rollout.NewReport()
+	r.Join(s.report)
+	r.VMs[s.phase] = 1
+	now := s.cfg.Now()
+	for t := range s.inFlight {
+		if t.track == worker.TrackCanary && s.isSlow(t.route, now.Sub(t.started)) {
+			tallyKey := rollout.Subject{Route: t.route, Worker: t.incarnation}
+			sum := r.New[tallyKey]
+			sum.Add(rollout.Tally{Ended: 1, Slow: 1})
+			r.New[tallyKey] = sum
+		}
+	}
+	return r
+}
