--- a/coordination/capacity/grant.go
+++ b/coordination/capacity/grant.go
@@ -87,7 +87,7 @@
 // wait for and less the headroom, which is at least one slot.
 func (p *Pool) lendable() int {
 	usable := p.usable()
-	headroom := max(1, int(p.cfg.MinHeadroom.Of(uint64(usable))))
+	headroom := max(1, int(p.cfg.MinHeadroom.Scale(uint64(usable))))
 	return usable - headroom - p.inUse - p.lentUnused() - p.waiters.Len()
 }
 
--- a/coordination/intent/plan.go
+++ b/coordination/intent/plan.go
@@ -247,7 +247,7 @@
 
 // spare is how many slots a hall could take on and keep its headroom.
 func spare(s load.ServiceStatus, headroom share.PPM) float64 {
-	reserved := float64(headroom.Of(uint64(s.Usable)))
+	reserved := float64(headroom.Scale(uint64(s.Usable)))
 	return float64(s.Usable) - reserved - math.Max(s.Busy, float64(s.InUse))
 }
 
--- a/coordination/placement/steer.go
+++ b/coordination/placement/steer.go
@@ -69,7 +69,7 @@
 		return steer.Candidate{}, ""
 	}
 	hall = first.Hall
-	return p.cfg.Steerer.EvaluateAt(s.Traffic, r.Service, hall, share.Key(r.Key)), hall
+	return p.cfg.Steerer.EvaluateAt(s.Traffic, r.Service, hall, share.KeyFromHash(r.Key)), hall
 }
 
 // applyMove sends the request to the target of its move, if the move has capacity.
--- a/coordination/poison/history.go
+++ b/coordination/poison/history.go
@@ -18,9 +18,9 @@
 	maxPerGeneration = 16384
 )
 
-// Memory records how requests recently ended at this VM: whether they were answered,
+// History records how requests recently ended at this VM: whether they were answered,
 // and how many hang-ups count against them. It is safe for concurrent use.
-type Memory struct {
+type History struct {
 	now func() time.Time
 
 	mu sync.Mutex
@@ -35,14 +35,14 @@
 	hangUps  int
 }
 
-// NewMemory returns an empty history that reads the time from now.
-func NewMemory(now func() time.Time) *Memory {
-	return &Memory{now: now, newer: make(map[quarantine.Fingerprint]outcome), rotatedAt: now()}
+// NewHistory returns an empty history that reads the time from now.
+func NewHistory(now func() time.Time) *History {
+	return &History{now: now, newer: make(map[quarantine.Fingerprint]outcome), rotatedAt: now()}
 }
 
-// HungUp records that a worker hung up, and reports whether this counts against the
+// RecordHangUp records that a worker hung up, and reports whether this counts against the
 // request. It does unless the request was answered since its last hang-up.
-func (m *Memory) HungUp(f quarantine.Fingerprint) bool {
+func (m *History) RecordHangUp(f quarantine.Fingerprint) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	o := m.lookup(f)
@@ -55,9 +55,9 @@
 	return suspicious
 }
 
-// Answered records that a request was answered, and reports whether this cleared
+// RecordAnswer records that a request was answered, and reports whether this cleared
 // earlier hang-ups.
-func (m *Memory) Answered(f quarantine.Fingerprint) bool {
+func (m *History) RecordAnswer(f quarantine.Fingerprint) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	cleared := m.lookup(f).hangUps > 0
@@ -66,20 +66,20 @@
 }
 
 // HangUps returns how many hang-ups count against a request.
-func (m *Memory) HangUps(f quarantine.Fingerprint) int {
+func (m *History) HangUps(f quarantine.Fingerprint) int {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.lookup(f).hangUps
 }
 
-func (m *Memory) lookup(f quarantine.Fingerprint) outcome {
+func (m *History) lookup(f quarantine.Fingerprint) outcome {
 	if o, ok := m.newer[f]; ok {
 		return o
 	}
 	return m.older[f]
 }
 
-func (m *Memory) store(f quarantine.Fingerprint, o outcome) {
+func (m *History) store(f quarantine.Fingerprint, o outcome) {
 	if now := m.now(); len(m.newer) >= maxPerGeneration || now.Sub(m.rotatedAt) >= rotation {
 		m.older, m.newer, m.rotatedAt = m.newer, make(map[quarantine.Fingerprint]outcome), now
 	}
--- a/coordination/poison/poison.go
+++ b/coordination/poison/poison.go
@@ -54,7 +54,7 @@
 // HangUp reports that a worker closed the connection before it answered a request.
 type HangUp struct {
 	Fingerprint quarantine.Fingerprint
-	Target      uint64
+	TargetHash  uint64
 	Subject     string
 	Service     string
 	Worker      string
@@ -124,7 +124,7 @@
 	}
 	s.last = h
 	d.dirty = true
-	if known, found := d.cfg.Known(h.Fingerprint); found && !known.Holds(h.At) {
+	if known, found := d.cfg.Known(h.Fingerprint); found && !known.Active(h.At) {
 		s.found = false
 	}
 	switch {
@@ -149,8 +149,8 @@
 	return c
 }
 
-// Answered clears a request: since it was answered, it does not crash every worker.
-func (d *Detector) Answered(f quarantine.Fingerprint) {
+// RecordAnswer clears a request: since it was answered, it does not crash every worker.
+func (d *Detector) RecordAnswer(f quarantine.Fingerprint) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if s, ok := d.suspects[f]; ok && !s.found {
@@ -165,8 +165,8 @@
 	delete(d.suspects, f)
 }
 
-// Decide returns the newly detected requests as entries to quarantine.
-func (d *Detector) Decide() []quarantine.Entry {
+// Detect returns the newly detected requests as entries to quarantine.
+func (d *Detector) Detect() []quarantine.Entry {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if !d.dirty {
@@ -178,7 +178,7 @@
 	var found []quarantine.Entry
 	for _, s := range d.ranked() {
 		known, repeat := d.cfg.Known(s.last.Fingerprint)
-		if repeat && known.Holds(now) {
+		if repeat && known.Active(now) {
 			d.confirm(s) // quarantined by another VM
 			continue
 		}
@@ -190,8 +190,8 @@
 	return found
 }
 
-// Settled reports whether Detect has nothing to do until a hang-up is added.
-func (d *Detector) Settled() bool {
+// Idle reports whether Detect has nothing to do until a hang-up is added.
+func (d *Detector) Idle() bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return !d.dirty
@@ -262,7 +262,7 @@
 
 func (s *suspect) entry(known quarantine.Entry) quarantine.Entry {
 	e := quarantine.Entry{
-		Fingerprint: s.last.Fingerprint, Target: s.last.Target, Subject: s.last.Subject, Service: s.last.Service, Times: known.Times,
+		Fingerprint: s.last.Fingerprint, TargetHash: s.last.TargetHash, Subject: s.last.Subject, Service: s.last.Service, Times: known.Times,
 	}
 	for _, c := range s.crashes {
 		e.Workers = append(e.Workers, c.worker)
--- a/coordination/poison/poison_test.go
+++ b/coordination/poison/poison_test.go
@@ -19,7 +19,7 @@
 
 // request returns the fingerprint of a request by its name.
 func request(name string) quarantine.Fingerprint {
-	return quarantine.FingerprintOf(quarantine.Identity{Target: name})
+	return quarantine.ComputeFingerprint(quarantine.Identity{Target: name})
 }
 
 // step is a crash of a worker with requests in flight, some time after the previous one.
@@ -32,7 +32,7 @@
 
 func replay(d *poison.Detector, clock *clockwork.FakeClock, steps []step) (found []string) {
 	decide := func() {
-		for _, e := range d.Decide() {
+		for _, e := range d.Detect() {
 			found = append(found, e.Subject)
 		}
 	}
@@ -42,7 +42,7 @@
 			d.Add(poison.HangUp{Fingerprint: request(name), Subject: name, Worker: s.worker, At: clock.Now()})
 		}
 		if s.answered != "" {
-			d.Answered(request(s.answered))
+			d.RecordAnswer(request(s.answered))
 		}
 		decide()
 	}
@@ -112,7 +112,7 @@
 		d := poison.New(poison.Config{Known: table.Get, Now: clock.Now})
 		crashWorker := func() []quarantine.Entry {
 			d.Add(poison.HangUp{Fingerprint: request("bad"), Worker: "w", At: clock.Now()})
-			entries := d.Decide()
+			entries := d.Detect()
 			for _, e := range entries {
 				table.Hear(e)
 			}
@@ -154,7 +154,7 @@
 		for _, h := range rapid.Permutation(hangUps).Draw(t, "order") {
 			d.Add(h)
 		}
-		if found := d.Decide(); (len(found) == 1) != (crashes >= 3) {
+		if found := d.Detect(); (len(found) == 1) != (crashes >= 3) {
 			t.Fatalf("%d found with %d crashes", len(found), crashes)
 		}
 	})
@@ -172,17 +172,17 @@
 			clock, found := clockwork.NewFakeClock(), 0
 			for day := range uint64(days) {
 				random := rand.New(rand.NewPCG(day, 1))
-				d, memory := poison.New(poison.Config{Now: clock.Now}), poison.NewMemory(clock.Now)
+				d, memory := poison.New(poison.Config{Now: clock.Now}), poison.NewHistory(clock.Now)
 				hangUp := func(name, worker string) {
-					if f := request(name); memory.HungUp(f) {
+					if f := request(name); memory.RecordHangUp(f) {
 						d.Add(poison.HangUp{Fingerprint: f, Subject: name, Worker: worker, At: clock.Now()})
 					}
 				}
 				for crash := range crashes {
 					clock.Advance(time.Duration(random.IntN(2000)) * time.Millisecond)
 					for p := range popular {
-						if f := request(fmt.Sprint("popular", p)); memory.Answered(f) {
-							d.Answered(f)
+						if f := request(fmt.Sprint("popular", p)); memory.RecordAnswer(f) {
+							d.RecordAnswer(f)
 						}
 					}
 					for slot := range slots {
@@ -196,7 +196,7 @@
 							hangUp(rare, fmt.Sprintf("w%d-%d-%d", crash, slot, try))
 						}
 					}
-					found += len(d.Decide())
+					found += len(d.Detect())
 				}
 			}
 			if found > c.maxFound {
--- a/coordination/rollout/analyzer.go
+++ b/coordination/rollout/analyzer.go
@@ -61,7 +61,7 @@
 //
 // The zero value is ready to use. It is not safe for concurrent use.
 type Analyzer struct {
-	counted map[rollout.Subject]rollout.Tally
+	counted map[rollout.TallyKey]rollout.Tally
 	routes  map[string]*routeScores
 	// baseline holds the recent tallies of the old version by route, and baselineSeen
 	// the totals already added to them.
@@ -115,7 +115,7 @@
 func (a *Analyzer) updateBaseline(now time.Time, r *rollout.Report) {
 	sum := rollout.Tally{}
 	for route, t := range r.Old {
-		delta := t.Since(a.baselineSeen[route])
+		delta := t.Delta(a.baselineSeen[route])
 		a.baselineSeen[route] = t
 		sum.Add(delta)
 		a.updateRouteBaseline(now, route, delta)
@@ -144,7 +144,7 @@
 // is bad.
 func (a *Analyzer) Add(now time.Time, r *rollout.Report) (Finding, bool) {
 	if a.counted == nil {
-		a.counted, a.routes = make(map[rollout.Subject]rollout.Tally), make(map[string]*routeScores)
+		a.counted, a.routes = make(map[rollout.TallyKey]rollout.Tally), make(map[string]*routeScores)
 		a.baseline, a.baselineSeen = make(map[string]*decayingTally), make(map[string]rollout.Tally)
 	}
 	a.updateBaseline(now, r)
@@ -165,7 +165,7 @@
 			explained = float64(deltas[route].Slow)
 		}
 		if slow, bad := scores.add(deltas[route], old, explained); bad {
-			all := r.Sum()
+			all := r.NewByRoute()
 			all[allRoutes] = total(all)
 			return Finding{Route: route, Slow: slow, New: all[route], Old: old.tally()}, true
 		}
@@ -179,13 +179,13 @@
 	excluded := outliersByRoute(r)
 	deltas := make(map[string]rollout.Tally)
 	for key, t := range r.New {
-		delta := t.Since(a.counted[key])
+		delta := t.Delta(a.counted[key])
 		a.counted[key] = t
 		if delta.Ended == 0 {
 			continue
 		}
 		for _, route := range []string{key.Route, allRoutes} {
-			if excluded[rollout.Subject{Route: route, Worker: key.Worker}] {
+			if excluded[rollout.TallyKey{Route: route, Worker: key.Worker}] {
 				continue
 			}
 			sum := deltas[route]
@@ -213,7 +213,7 @@
 
 // outliersByRoute returns the canary workers that do worse than the others on a route or
 // overall, and so may be unhealthy themselves.
-func outliersByRoute(r *rollout.Report) map[rollout.Subject]bool {
+func outliersByRoute(r *rollout.Report) map[rollout.TallyKey]bool {
 	byRoute := make(map[string]map[string]rollout.Tally)
 	for key, t := range r.New {
 		if key.Worker == "" {
@@ -228,10 +228,10 @@
 			byRoute[route][key.Worker] = sum
 		}
 	}
-	excluded := make(map[rollout.Subject]bool)
+	excluded := make(map[rollout.TallyKey]bool)
 	for route, workers := range byRoute {
 		for _, id := range outliers(workers) {
-			excluded[rollout.Subject{Route: route, Worker: id}] = true
+			excluded[rollout.TallyKey{Route: route, Worker: id}] = true
 		}
 	}
 	return excluded
--- a/coordination/rollout/decider.go
+++ b/coordination/rollout/decider.go
@@ -108,8 +108,8 @@
 // Inputs are the inputs of a decision.
 type Inputs struct {
 	Now time.Time
-	// Left is the time until the order's deadline, negative after it.
-	Left time.Duration
+	// TimeLeft is the time until the order's deadline, negative after it.
+	TimeLeft time.Duration
 	// Report is the merged report of the VMs, and VMs the number of live VMs.
 	Report rollout.Report
 	VMs    int
@@ -125,9 +125,9 @@
 	WarmUp bool
 	// SlowAfter is the latency by route above which a request counts as slow.
 	SlowAfter map[string]time.Duration
-	// Parts are the fractions of the keys in the trial, for routes on which
+	// CanaryFractions are the fractions of the keys in the trial, for routes on which
 	// the default canary fraction covers no key with traffic.
-	Parts map[string]float64
+	CanaryFractions map[string]float64
 	// Closed is set if old workers get no requests even when the new ones are full.
 	Closed bool
 	// Reason explains the current phase and what the order waits for.
@@ -204,14 +204,14 @@
 	default: // final
 	}
 	return Step{
-		Phase: d.Phase(), WarmUp: d.Phase() == rollout.PhaseTrial && in.Left < drain+warmUpLead,
-		SlowAfter: slowThresholds(in.Report.Old), Parts: d.growCanaries(in), Closed: d.closed, Reason: d.reason,
+		Phase: d.Phase(), WarmUp: d.Phase() == rollout.PhaseTrial && in.TimeLeft < drain+warmUpLead,
+		SlowAfter: slowThresholds(in.Report.Old), CanaryFractions: d.growCanaries(in), Closed: d.closed, Reason: d.reason,
 	}
 }
 
 // adoptPhase adopts the latest phase in the reports, which another VM has decided.
 func (d *Decider) adoptPhase(in Inputs) {
-	furthest := in.Report.Furthest()
+	furthest := in.Report.MaxPhase()
 	if furthest <= d.Phase() {
 		return
 	}
@@ -244,17 +244,17 @@
 // updatePeak updates the decaying peak of the requests in flight.
 func (d *Decider) updatePeak(in Inputs) {
 	decay := math.Exp(-in.Now.Sub(d.peakAt).Seconds() / peakDecay.Seconds())
-	d.peak, d.peakAt = max(d.peak*decay, float64(in.Report.UnderWayOld+in.Report.UnderWayNew)), in.Now
+	d.peak, d.peakAt = max(d.peak*decay, float64(in.Report.InFlightOld+in.Report.InFlightNew)), in.Now
 }
 
 // checkTrial starts the shift if the remaining time is needed to drain, the trial was long
 // enough and the new workers have the capacity.
 func (d *Decider) checkTrial(in Inputs, drain time.Duration) {
 	elapsed := in.Now.Sub(d.phaseSince)
-	responses := int(total(in.Report.Sum()).Ended)
+	responses := int(total(in.Report.NewByRoute()).Ended)
 	switch {
-	case in.Left > drain:
-		d.reason = fmt.Sprintf("is tried out for %s more", (in.Left - drain).Round(time.Millisecond))
+	case in.TimeLeft > drain:
+		d.reason = fmt.Sprintf("is tried out for %s more", (in.TimeLeft - drain).Round(time.Millisecond))
 	case elapsed < minTrial:
 		d.reason = fmt.Sprintf("has been tried out for %s only, with %d answers", elapsed.Round(time.Millisecond), responses)
 	case d.peak > maxSlotUse*float64(in.Slots), float64(in.Slots) < minSlotRatio*float64(in.OldSlots):
@@ -272,7 +272,7 @@
 		return nil
 	}
 	var fractions map[string]float64
-	responses := in.Report.Sum()
+	responses := in.Report.NewByRoute()
 	for route, old := range in.Report.Old {
 		if float64(old.Ended) < minResponses/worker.CanaryPart {
 			continue
@@ -295,7 +295,7 @@
 // checkShift proves the version after enough time and responses in the shift.
 func (d *Decider) checkShift(in Inputs) {
 	elapsed := in.Now.Sub(d.phaseSince)
-	responses := int(total(in.Report.Sum()).Ended)
+	responses := int(total(in.Report.NewByRoute()).Ended)
 	if elapsed < minShift || responses < minShiftResponses && elapsed < maxShift {
 		d.reason = fmt.Sprintf("has served everything for %s, with %d answers", elapsed.Round(time.Millisecond), responses)
 		return
@@ -306,17 +306,17 @@
 // checkDrain completes the order once no VM has requests in flight at old workers. It
 // waits for live VMs that do not report, since they may still have some.
 func (d *Decider) checkDrain(in Inputs) {
-	proved := in.Report.InPhase(rollout.PhaseProved)
-	inFlight := in.Report.UnderWayOld + in.Report.UnderWayNew
+	proved := in.Report.VMsAtLeast(rollout.PhaseProved)
+	inFlight := in.Report.InFlightOld + in.Report.InFlightNew
 	switch {
 	case proved < in.VMs:
 		d.reason = fmt.Sprintf("waits for %d of %d VMs", in.VMs-proved, in.VMs)
-	case !d.closed && float64(in.Report.UnderWayOld) > maxOldInFlight*float64(inFlight):
-		d.reason = fmt.Sprintf("%d of %d requests are at old workers still", in.Report.UnderWayOld, inFlight)
+	case !d.closed && float64(in.Report.InFlightOld) > maxOldInFlight*float64(inFlight):
+		d.reason = fmt.Sprintf("%d of %d requests are at old workers still", in.Report.InFlightOld, inFlight)
 	case !d.closed: // the next reports must still confirm that nothing is in flight
 		d.closed = true
-	case in.Report.UnderWayOld > 0:
-		d.reason = fmt.Sprintf("waits for %d requests at old workers", in.Report.UnderWayOld)
+	case in.Report.InFlightOld > 0:
+		d.reason = fmt.Sprintf("waits for %d requests at old workers", in.Report.InFlightOld)
 	default:
 		d.fire(eventComplete, in.Now, "all VMs have nothing under way at old workers")
 	}
@@ -334,7 +334,7 @@
 // the key's first run.
 func coldOverlap(r rollout.Report, elapsed, latency time.Duration) float64 {
 	keys := max(r.Keys.Count(), 1)
-	each := float64(total(r.Sum()).Ended) / keys
+	each := float64(total(r.NewByRoute()).Ended) / keys
 	return each * coldFactor * latency.Seconds() / max(elapsed.Seconds(), 1)
 }
 
--- a/coordination/rollout/model_test.go
+++ b/coordination/rollout/model_test.go
@@ -34,7 +34,7 @@
 	random  *rand.Rand
 	now     time.Time
 	begun   time.Time
-	vms     []*rolling.Share
+	vms     []*rolling.Splitter
 	decider *rolling.Decider
 	order   rollout.Order
 	rate    float64
@@ -60,7 +60,7 @@
 // completion is the scheduled end of a request.
 type completion struct {
 	at     time.Time
-	try    *rolling.Try
+	try    *rolling.Attempt
 	failed bool
 	old    bool
 }
@@ -93,7 +93,7 @@
 		order: rollout.Order{Service: "s", Version: 2, Duration: modelDuration},
 	}
 	for range vms {
-		m.vms = append(m.vms, rolling.NewShare(rolling.ShareConfig{Service: "s", Version: 2, Part: m.share, Now: func() time.Time { return m.now }}))
+		m.vms = append(m.vms, rolling.NewSplitter(rolling.SplitterConfig{Service: "s", Version: 2, MaxFraction: m.share, Now: func() time.Time { return m.now }}))
 	}
 	m.decider = rolling.NewDecider(rolling.DeciderConfig{Order: m.order})
 	for k := range m.keys {
@@ -109,7 +109,7 @@
 		m.now = m.begun.Add(at)
 		for len(m.pending) > 0 && !m.pending[0].at.After(m.now) {
 			e := heap.Pop(&m.pending).(completion)
-			e.try.Ended(true, e.failed)
+			e.try.RecordEnd(true, e.failed)
 			if e.old {
 				m.oldInFlight--
 			}
@@ -139,7 +139,7 @@
 	hash := xxhash.Sum64String(fmt.Sprint(m.seed, "key", k))
 	vm := m.vms[m.random.IntN(len(m.vms))]
 	route := fmt.Sprintf("/%d/", k%3)
-	track := vm.Choose(route, hash, false)
+	track := vm.ChooseTrack(route, hash, false)
 	location := "old"
 	if track != worker.TrackStable {
 		location = fmt.Sprint("new", track)
@@ -162,7 +162,7 @@
 	}
 	took *= 0.85 + 0.3*m.random.Float64()
 	incarnation := fmt.Sprint("w", hash%3) // one of three canaries
-	e := completion{at: m.now.Add(time.Duration(took) * time.Millisecond), try: vm.Sent(track, route, incarnation, hash), failed: failed, old: track == worker.TrackStable}
+	e := completion{at: m.now.Add(time.Duration(took) * time.Millisecond), try: vm.RecordSent(track, route, incarnation, hash), failed: failed, old: track == worker.TrackStable}
 	if e.old {
 		m.oldInFlight++
 	}
@@ -182,16 +182,16 @@
 	sum, reached := rollout.NewReport(), 0
 	for i, vm := range m.vms {
 		if !m.unreachable[i] {
-			sum.Join(vm.Report())
+			sum.Merge(vm.Report())
 			reached++
 		}
 	}
-	sum.UnderWayOld = m.oldInFlight
-	step := m.decider.Decide(rolling.Inputs{Now: m.now, Left: modelDuration - at, Report: sum, VMs: reached, Slots: m.slots})
+	sum.InFlightOld = m.oldInFlight
+	step := m.decider.Decide(rolling.Inputs{Now: m.now, TimeLeft: modelDuration - at, Report: sum, VMs: reached, Slots: m.slots})
 	m.phase, m.reason = step.Phase, step.Reason
 	for i, vm := range m.vms {
 		if !m.unreachable[i] {
-			vm.Hear(step)
+			vm.Apply(step)
 		}
 	}
 	if step.Phase.Final() {
--- a/coordination/rollout/rollout_test.go
+++ b/coordination/rollout/rollout_test.go
@@ -91,14 +91,14 @@
 // Guards against an unproved version getting more than its share of one VM's requests.
 func TestSplitterStaysWithinShare(t *testing.T) {
 	now := time.Unix(1000, 0)
-	newSplitter := func() *rolling.Share {
-		return rolling.NewShare(rolling.ShareConfig{Service: "s", Version: 2, Part: 0.1, Now: func() time.Time { return now }})
+	newSplitter := func() *rolling.Splitter {
+		return rolling.NewSplitter(rolling.SplitterConfig{Service: "s", Version: 2, MaxFraction: 0.1, Now: func() time.Time { return now }})
 	}
 	Convey("In the shift, one VM stays within a tenth of its requests", t, func() {
 		s := newSplitter()
-		s.Hear(rolling.Step{Phase: rollout.PhaseShift})
+		s.Apply(rolling.Step{Phase: rollout.PhaseShift})
 		for range 1000 {
-			s.Choose("r", 7, false)
+			s.ChooseTrack("r", 7, false)
 			requests, sent := s.Counts()
 			So(float64(sent), ShouldBeLessThanOrEqualTo, 0.1*float64(requests)+1)
 		}
@@ -107,74 +107,74 @@
 		s := newSplitter()
 		sends := func() bool {
 			for key := range uint64(2000) {
-				if s.Choose("r", key*0x9e3779b97f4a7c15, false) != worker.TrackStable {
+				if s.ChooseTrack("r", key*0x9e3779b97f4a7c15, false) != worker.TrackStable {
 					return true
 				}
 			}
 			return false
 		}
 		So(sends(), ShouldBeFalse)
-		s.Hear(rolling.Step{Phase: rollout.PhaseShift})
+		s.Apply(rolling.Step{Phase: rollout.PhaseShift})
 		So(sends(), ShouldBeTrue)
 		now = now.Add(3 * time.Second)
 		So(sends(), ShouldBeFalse)
-		s.Hear(rolling.Step{Phase: rollout.PhaseProved})
+		s.Apply(rolling.Step{Phase: rollout.PhaseProved})
 		So(sends(), ShouldBeTrue)
-		s.Hear(rolling.Step{Phase: rollout.PhaseRolledBack})
+		s.Apply(rolling.Step{Phase: rollout.PhaseRolledBack})
 		So(sends(), ShouldBeFalse)
-		s.Hear(rolling.Step{Phase: rollout.PhaseProved}) // a late step
+		s.Apply(rolling.Step{Phase: rollout.PhaseProved}) // a late step
 		So(sends(), ShouldBeFalse)
 	})
 	Convey("Retries go to the old version", t, func() {
 		s := newSplitter()
-		s.Hear(rolling.Step{Phase: rollout.PhaseShift})
+		s.Apply(rolling.Step{Phase: rollout.PhaseShift})
 		for range 100 {
-			So(s.Choose("r", 1, true), ShouldEqual, worker.TrackStable)
+			So(s.ChooseTrack("r", 1, true), ShouldEqual, worker.TrackStable)
 		}
 	})
 	Convey("A VM stops on its own failures, whatever the decider says", t, func() {
 		s := newSplitter()
-		s.Hear(rolling.Step{Phase: rollout.PhaseShift})
+		s.Apply(rolling.Step{Phase: rollout.PhaseShift})
 		failed := 0
 		for range 2000 {
-			try := s.Sent(s.Choose("r", 1, false), "r", "w", 1)
+			try := s.RecordSent(s.ChooseTrack("r", 1, false), "r", "w", 1)
 			if _, sent := s.Counts(); sent > failed {
 				failed = sent
-				try.Ended(true, true)
+				try.RecordEnd(true, true)
 				continue
 			}
-			try.Ended(true, false)
-			s.Hear(rolling.Step{Phase: rollout.PhaseShift})
+			try.RecordEnd(true, false)
+			s.Apply(rolling.Step{Phase: rollout.PhaseShift})
 		}
 		So(failed, ShouldBeLessThan, 30)
-		s.Hear(rolling.Step{Phase: rollout.PhaseProved}) // proved by the reports of all VMs
-		So(s.Choose("r", 1, false), ShouldEqual, worker.TrackNew)
+		s.Apply(rolling.Step{Phase: rollout.PhaseProved}) // proved by the reports of all VMs
+		So(s.ChooseTrack("r", 1, false), ShouldEqual, worker.TrackNew)
 	})
 }
 
 // Guards against losing requests that new workers cannot hold, or using closed old workers.
 func TestOldWorkersServeWhatNewOnesCannot(t *testing.T) {
 	Convey("A proved version whose workers are full", t, func() {
-		s := rolling.NewShare(rolling.ShareConfig{Service: "s", Version: 2, Part: 0.1, Now: func() time.Time { return time.Unix(1000, 0) }})
+		s := rolling.NewSplitter(rolling.SplitterConfig{Service: "s", Version: 2, MaxFraction: 0.1, Now: func() time.Time { return time.Unix(1000, 0) }})
 		falls := func() bool {
-			So(s.Choose("r", 1, false), ShouldEqual, worker.TrackNew)
-			return s.Withdraw()
+			So(s.ChooseTrack("r", 1, false), ShouldEqual, worker.TrackNew)
+			return s.WithdrawChoice()
 		}
-		s.Hear(rolling.Step{Phase: rollout.PhaseProved})
+		s.Apply(rolling.Step{Phase: rollout.PhaseProved})
 		So(falls(), ShouldBeTrue)
-		s.Hear(rolling.Step{Phase: rollout.PhaseProved, Closed: true})
+		s.Apply(rolling.Step{Phase: rollout.PhaseProved, Closed: true})
 		So(falls(), ShouldBeFalse)
 	})
 	Convey("The order waits while many requests are in flight at old workers", t, func() {
 		d := rolling.NewDecider(rolling.DeciderConfig{Order: rollout.Order{Service: "s", Version: 2, Duration: modelDuration}})
 		r := rollout.NewReport()
-		r.VMs[rollout.PhaseProved], r.UnderWayOld, r.UnderWayNew = 9, 20, 100
-		in := rolling.Inputs{Now: time.Unix(1000, 0), Left: time.Second, Report: r, VMs: 9, Slots: 90}
+		r.VMs[rollout.PhaseProved], r.InFlightOld, r.InFlightNew = 9, 20, 100
+		in := rolling.Inputs{Now: time.Unix(1000, 0), TimeLeft: time.Second, Report: r, VMs: 9, Slots: 90}
 		So(d.Decide(in).Closed, ShouldBeFalse)
-		in.Report.UnderWayOld = 3
+		in.Report.InFlightOld = 3
 		So(d.Decide(in).Closed, ShouldBeTrue)
 		So(d.Decide(in).Phase, ShouldEqual, rollout.PhaseProved)
-		in.Report.UnderWayOld = 0
+		in.Report.InFlightOld = 0
 		So(d.Decide(in).Phase, ShouldEqual, rollout.PhaseCompleted)
 	})
 }
@@ -187,27 +187,27 @@
 		r.VMs[rollout.PhaseProved] = 9
 		now := time.Unix(1000, 0)
 		for range 3 {
-			step := d.Decide(rolling.Inputs{Now: now, Left: time.Second, Report: r, VMs: 10, Slots: 9})
+			step := d.Decide(rolling.Inputs{Now: now, TimeLeft: time.Second, Report: r, VMs: 10, Slots: 9})
 			So(step.Phase, ShouldEqual, rollout.PhaseProved)
 			So(step.Closed, ShouldBeFalse)
 		}
-		So(d.Decide(rolling.Inputs{Now: now, Left: time.Second, Report: r, VMs: 9, Slots: 9}).Closed, ShouldBeTrue)
-		So(d.Decide(rolling.Inputs{Now: now, Left: time.Second, Report: r, VMs: 9, Slots: 9}).Phase, ShouldEqual, rollout.PhaseCompleted)
+		So(d.Decide(rolling.Inputs{Now: now, TimeLeft: time.Second, Report: r, VMs: 9, Slots: 9}).Closed, ShouldBeTrue)
+		So(d.Decide(rolling.Inputs{Now: now, TimeLeft: time.Second, Report: r, VMs: 9, Slots: 9}).Phase, ShouldEqual, rollout.PhaseCompleted)
 	})
 	Convey("A decider adopts the decisions of another one", t, func() {
 		d := rolling.NewDecider(rolling.DeciderConfig{Order: rollout.Order{Service: "s", Version: 2, Duration: modelDuration}})
 		r := rollout.NewReport()
 		r.VMs[rollout.PhaseProved], r.VMs[rollout.PhaseRolledBack] = 5, 1
-		step := d.Decide(rolling.Inputs{Now: time.Unix(1000, 0), Left: time.Second, Report: r, VMs: 6, Slots: 9})
+		step := d.Decide(rolling.Inputs{Now: time.Unix(1000, 0), TimeLeft: time.Second, Report: r, VMs: 6, Slots: 9})
 		So(step.Phase, ShouldEqual, rollout.PhaseRolledBack)
 	})
 	Convey("The shift waits until the new workers have capacity for the recent peak", t, func() {
 		d := rolling.NewDecider(rolling.DeciderConfig{Order: rollout.Order{Service: "s", Version: 2, Duration: modelDuration}})
 		r := rollout.NewReport()
-		r.VMs[rollout.PhaseTrial], r.UnderWayOld = 6, 100
-		in := rolling.Inputs{Now: time.Unix(1000, 0), Left: modelDuration, Report: r, VMs: 6, Slots: 90}
+		r.VMs[rollout.PhaseTrial], r.InFlightOld = 6, 100
+		in := rolling.Inputs{Now: time.Unix(1000, 0), TimeLeft: modelDuration, Report: r, VMs: 6, Slots: 90}
 		d.Decide(in)
-		in.Now, in.Left, in.Report.UnderWayOld = in.Now.Add(10*time.Second), time.Second, 50
+		in.Now, in.TimeLeft, in.Report.InFlightOld = in.Now.Add(10*time.Second), time.Second, 50
 		in.Slots = 60
 		So(d.Decide(in).Phase, ShouldEqual, rollout.PhaseTrial)
 		in.Slots, in.OldSlots = 90, 130
@@ -218,6 +218,6 @@
 	Convey("The trial waits for workers of the new version", t, func() {
 		d := rolling.NewDecider(rolling.DeciderConfig{Order: rollout.Order{Service: "s", Version: 2, Duration: modelDuration}})
 		r := rollout.NewReport()
-		So(d.Decide(rolling.Inputs{Now: time.Unix(1000, 0), Left: time.Second, Report: r, VMs: 6}).Phase, ShouldEqual, rollout.PhaseOrdered)
+		So(d.Decide(rolling.Inputs{Now: time.Unix(1000, 0), TimeLeft: time.Second, Report: r, VMs: 6}).Phase, ShouldEqual, rollout.PhaseOrdered)
 	})
 }
--- a/coordination/rollout/splitter.go
+++ b/coordination/rollout/splitter.go
@@ -34,20 +34,20 @@
 	maxTallies = 512
 )
 
-// ShareConfig configures a Splitter. Service, Version and Now are required.
-type ShareConfig struct {
+// SplitterConfig configures a Splitter. Service, Version and Now are required.
+type SplitterConfig struct {
 	Service string
 	Version rollout.Version
-	// Part is the maximum fraction of the service's requests that go to the new
+	// MaxFraction is the maximum fraction of the service's requests that go to the new
 	// version before it is proved, 0 to 1.
-	Part float64
-	Now  func() time.Time
+	MaxFraction float64
+	Now         func() time.Time
 }
 
-// Share splits one VM's requests between the old and the new version during a rollout and
+// Splitter splits one VM's requests between the old and the new version during a rollout and
 // records their results. It is safe for concurrent use.
-type Share struct {
-	cfg ShareConfig
+type Splitter struct {
+	cfg SplitterConfig
 
 	mu      sync.Mutex
 	phase   rollout.Phase
@@ -61,20 +61,20 @@
 	suspended bool
 	analyzer  Analyzer
 	report    rollout.Report
-	inFlight  map[*Try]struct{}
+	inFlight  map[*Attempt]struct{}
 }
 
-// NewShare returns a splitter that has received no step.
-func NewShare(cfg ShareConfig) *Share {
-	return &Share{cfg: cfg, start: rand.Float64(), report: rollout.NewReport(), inFlight: make(map[*Try]struct{})}
+// NewSplitter returns a splitter that has received no step.
+func NewSplitter(cfg SplitterConfig) *Splitter {
+	return &Splitter{cfg: cfg, start: rand.Float64(), report: rollout.NewReport(), inFlight: make(map[*Attempt]struct{})}
 }
 
 // Version returns the version that is rolled out.
-func (s *Share) Version() rollout.Version { return s.cfg.Version }
+func (s *Splitter) Version() rollout.Version { return s.cfg.Version }
 
-// Hear applies a step of the decider, and reports whether the phase advanced. A step of an
+// Apply applies a step of the decider, and reports whether the phase advanced. A step of an
 // earlier phase is ignored.
-func (s *Share) Hear(step Step) bool {
+func (s *Splitter) Apply(step Step) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if step.Phase < s.phase {
@@ -90,7 +90,7 @@
 }
 
 // Step returns the latest step.
-func (s *Share) Step() Step {
+func (s *Splitter) Step() Step {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	step := s.step
@@ -99,7 +99,7 @@
 }
 
 // Phase returns the latest phase.
-func (s *Share) Phase() rollout.Phase {
+func (s *Splitter) Phase() rollout.Phase {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.phase
@@ -107,16 +107,16 @@
 
 // Counts returns the number of this VM's requests since the order, and of those sent to the
 // new version.
-func (s *Share) Counts() (requests, sent int) {
+func (s *Splitter) Counts() (requests, sent int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return int(s.requests), int(s.sent)
 }
 
-// Choose returns which workers a request may use. The key is its affinity key's hash, or a
+// ChooseTrack returns which workers a request may use. The key is its affinity key's hash, or a
 // random number. A retry goes to the old version unless the new one is proved, so that
 // it does not fail there again.
-func (s *Share) Choose(route string, key uint64, retry bool) worker.Track {
+func (s *Splitter) ChooseTrack(route string, key uint64, retry bool) worker.Track {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.requests++
@@ -127,7 +127,7 @@
 	return track
 }
 
-func (s *Share) selectTrack(route string, key uint64, retry bool) worker.Track {
+func (s *Splitter) selectTrack(route string, key uint64, retry bool) worker.Track {
 	switch s.effectivePhase() {
 	case rollout.PhaseProved, rollout.PhaseCompleted:
 		return worker.TrackNew
@@ -135,7 +135,7 @@
 		if retry || !s.withinShare() {
 			return worker.TrackStable
 		}
-		if inFraction(key, s.cfg.Version, max(s.step.Parts[route], worker.CanaryPart)) {
+		if inFraction(key, s.cfg.Version, max(s.step.CanaryFractions[route], worker.CanaryPart)) {
 			return worker.TrackCanary
 		}
 		if s.step.WarmUp && rand.Float64() < warmUpFraction {
@@ -152,7 +152,7 @@
 
 // effectivePhase returns the phase that applies now. An expired step no longer applies,
 // unless its phase is final.
-func (s *Share) effectivePhase() rollout.Phase {
+func (s *Splitter) effectivePhase() rollout.Phase {
 	switch {
 	case s.phase.Final():
 		return s.phase
@@ -164,7 +164,9 @@
 
 // withinShare reports whether the new version may get one more request. Since each VM keeps
 // this bound on its own, it holds for all VMs together.
-func (s *Share) withinShare() bool { return s.sent+1 <= shareMargin*s.cfg.Part*s.requests+s.start }
+func (s *Splitter) withinShare() bool {
+	return s.sent+1 <= shareMargin*s.cfg.MaxFraction*s.requests+s.start
+}
 
 // inFraction reports whether a key belongs to a fraction of the keys.
 func inFraction(key uint64, version rollout.Version, fraction float64) bool {
@@ -173,18 +175,18 @@
 	return float64(hash^hash>>32)/math.MaxUint64 < fraction
 }
 
-// Withdraw reverts the choice of the new version, and reports whether the old version may
+// WithdrawChoice reverts the choice of the new version, and reports whether the old version may
 // serve the request instead.
-func (s *Share) Withdraw() bool {
+func (s *Splitter) WithdrawChoice() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.sent--
 	return s.effectivePhase() < rollout.PhaseProved || s.phase == rollout.PhaseProved && !s.step.Closed
 }
 
-// Try is one attempt of a request at a worker.
-type Try struct {
-	splitter *Share
+// Attempt is one attempt of a request at a worker.
+type Attempt struct {
+	splitter *Splitter
 	route    string
 	// incarnation identifies the canary worker, "" for other workers.
 	incarnation string
@@ -193,9 +195,9 @@
 	started     time.Time
 }
 
-// Sent records that a request was sent to an incarnation of a worker.
-func (s *Share) Sent(track worker.Track, route, incarnation string, key uint64) *Try {
-	t := &Try{splitter: s, route: route, track: track, key: key, started: s.cfg.Now()}
+// RecordSent records that a request was sent to an incarnation of a worker.
+func (s *Splitter) RecordSent(track worker.Track, route, incarnation string, key uint64) *Attempt {
+	t := &Attempt{splitter: s, route: route, track: track, key: key, started: s.cfg.Now()}
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if track == worker.TrackCanary {
@@ -208,9 +210,9 @@
 	return t
 }
 
-// Ended records the end of the attempt. An inconclusive one, such as a refusal or a
+// RecordEnd records the end of the attempt. An inconclusive one, such as a refusal or a
 // client that disconnected, is not counted.
-func (t *Try) Ended(conclusive, failed bool) {
+func (t *Attempt) RecordEnd(conclusive, failed bool) {
 	s := t.splitter
 	took := s.cfg.Now().Sub(t.started)
 	s.mu.Lock()
@@ -232,7 +234,7 @@
 }
 
 // addTally adds to the tallies. Beyond maxTallies, new routes and workers are ignored.
-func (s *Share) addTally(t *Try, tally rollout.Tally) {
+func (s *Splitter) addTally(t *Attempt, tally rollout.Tally) {
 	if t.track == worker.TrackStable {
 		if _, ok := s.report.Old[t.route]; !ok && len(s.report.Old) >= maxTallies {
 			return
@@ -242,7 +244,7 @@
 		s.report.Old[t.route] = sum
 		return
 	}
-	tallyKey := rollout.Subject{Route: t.route, Worker: t.incarnation}
+	tallyKey := rollout.TallyKey{Route: t.route, Worker: t.incarnation}
 	if _, ok := s.report.New[tallyKey]; !ok && len(s.report.New) >= maxTallies {
 		return
 	}
@@ -252,23 +254,23 @@
 }
 
 // isSlow reports whether a latency exceeds the route's slow threshold.
-func (s *Share) isSlow(route string, took time.Duration) bool {
+func (s *Splitter) isSlow(route string, took time.Duration) bool {
 	limit, ok := s.step.SlowAfter[route]
 	return ok && took > limit
 }
 
 // Report returns this VM's observations. Canary requests in flight that already exceed
 // the slow threshold count as slow.
-func (s *Share) Report() rollout.Report {
+func (s *Splitter) Report() rollout.Report {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	r := rollout.NewReport()
-	r.Join(s.report)
+	r.Merge(s.report)
 	r.VMs[s.phase] = 1
 	now := s.cfg.Now()
 	for t := range s.inFlight {
 		if t.track == worker.TrackCanary && s.isSlow(t.route, now.Sub(t.started)) {
-			tallyKey := rollout.Subject{Route: t.route, Worker: t.incarnation}
+			tallyKey := rollout.TallyKey{Route: t.route, Worker: t.incarnation}
 			sum := r.New[tallyKey]
 			sum.Add(rollout.Tally{Ended: 1, Slow: 1})
 			r.New[tallyKey] = sum
--- a/coordination/steer/steer.go
+++ b/coordination/steer/steer.go
@@ -72,14 +72,14 @@
 
 type shard struct {
 	mu       sync.RWMutex
-	accounts map[string]*quota.Account
+	accounts map[string]*quota.Bucket
 }
 
 // New returns a steerer without accounts.
 func New(cfg Config) *Steerer {
 	s := &Steerer{cfg: cfg}
 	for i := range s.shards {
-		s.shards[i].accounts = make(map[string]*quota.Account)
+		s.shards[i].accounts = make(map[string]*quota.Bucket)
 	}
 	return s
 }
@@ -89,8 +89,8 @@
 	rule    Rule
 	move    *spec.Move
 	target  string
-	account *quota.Account // of the move
-	caps    []*quota.Account
+	account *quota.Bucket // of the move
+	caps    []*quota.Bucket
 	// spareOnly is set for a subject beyond the share, which is moved only on credit that
 	// would otherwise expire.
 	spareOnly bool
@@ -118,17 +118,17 @@
 // them.
 func (c Candidate) Spend() bool {
 	if c.spareOnly {
-		return quota.SpendSpare(c.account, c.caps...)
+		return quota.TakeSurplus(c.account, c.caps...)
 	}
-	return quota.Spend(append([]*quota.Account{c.account}, c.caps...)...)
+	return quota.TakeAll(append([]*quota.Bucket{c.account}, c.caps...)...)
 }
 
 // Refund returns the spent credit after the target has definitely refused the request.
-func (c Candidate) Refund() { quota.Refund(append([]*quota.Account{c.account}, c.caps...)...) }
+func (c Candidate) Refund() { quota.Refund(append([]*quota.Bucket{c.account}, c.caps...)...) }
 
 // SpendCaps takes credit from every cap, or from none, for a request that leaves its hall
 // through the balancing between regions.
-func (c Candidate) SpendCaps() bool { return quota.Spend(c.caps...) }
+func (c Candidate) SpendCaps() bool { return quota.TakeAll(c.caps...) }
 
 // Evaluate counts a request against every matching move and cap and returns the move that
 // may apply to it.
@@ -137,17 +137,17 @@
 	if !ok || home != s.cfg.Hall {
 		return Candidate{rule: RuleForeign}
 	}
-	return s.EvaluateAt(v, service, home, share.Client(client))
+	return s.EvaluateAt(v, service, home, share.ClientKey(client))
 }
 
 // EvaluateAt is like Evaluate for a subject that belongs to a given hall, whichever hall
 // this VM is in.
-func (s *Steerer) EvaluateAt(v *view.View, service, hall string, subject share.Subject) Candidate {
+func (s *Steerer) EvaluateAt(v *view.View, service, hall string, subject share.HashKey) Candidate {
 	chosen := Candidate{rule: RuleHome, caps: s.countForCaps(v, service, hall)}
 	for _, m := range v.Moves(service, hall) {
 		position, effective := share.Position(m.ID, subject), m.Effective()
 		a := s.account("move/"+m.ID, effective)
-		a.Arrive()
+		a.AddRequest()
 		if chosen.move != nil || position >= min(spareShareFactor*effective, share.Whole) {
 			continue
 		}
@@ -157,15 +157,15 @@
 	return chosen
 }
 
-func (s *Steerer) countForCaps(v *view.View, service, hall string) []*quota.Account {
-	var accounts []*quota.Account
+func (s *Steerer) countForCaps(v *view.View, service, hall string) []*quota.Bucket {
+	var accounts []*quota.Bucket
 	for i := range v.Traffic().Caps {
 		c := &v.Traffic().Caps[i]
 		if !c.Covers(service, hall) {
 			continue
 		}
 		a := s.account(capAccountKey(c.ID, service, hall), c.Limit)
-		a.Arrive()
+		a.AddRequest()
 		accounts = append(accounts, a)
 	}
 	return accounts
@@ -174,7 +174,7 @@
 // capAccountKey returns the account key of a cap, which is counted per service and hall.
 func capAccountKey(id, service, hall string) string { return "cap/" + id + "/" + service + "/" + hall }
 
-func chooseTarget(m *spec.Move, subject share.Subject) string {
+func chooseTarget(m *spec.Move, subject share.HashKey) string {
 	if len(m.Targets) == 1 {
 		return m.Targets[0].Hall
 	}
@@ -182,10 +182,10 @@
 	for i, t := range m.Targets {
 		weights[i] = t.Weight
 	}
-	return m.Targets[max(0, share.Weighted(m.ID, subject, weights))].Hall
+	return m.Targets[max(0, share.PickWeighted(m.ID, subject, weights))].Hall
 }
 
-func (s *Steerer) account(key string, limit share.PPM) *quota.Account {
+func (s *Steerer) account(key string, limit share.PPM) *quota.Bucket {
 	sh := &s.shards[xxhash.Sum64String(key)%shardCount]
 	sh.mu.RLock()
 	a, ok := sh.accounts[key]
--- a/internal/demo/watch.go
+++ b/internal/demo/watch.go
@@ -189,7 +189,7 @@
 	w.follow(func() {
 		m := moved() - before
 		sent, _ := progress.Counts(loadgen.KindRead)
-		most := int(shiftCap.Of(uint64(sent - done)))
+		most := int(shiftCap.Scale(uint64(sent - done)))
 		w.run.try(promiseCap, "samples of requests run elsewhere against the cap of those sent", m <= most,
 			fmt.Sprintf("%d of %d requests ran elsewhere", m, sent-done))
 	})
--- a/internal/gateway/quarantine.go
+++ b/internal/gateway/quarantine.go
@@ -44,7 +44,7 @@
 type quarantines struct {
 	table    *quarantine.Table
 	detector *poison.Detector
-	memory   *poison.Memory
+	memory   *poison.History
 
 	mu sync.Mutex
 	// hangUps and answered are what is to be told.
@@ -61,7 +61,7 @@
 func newQuarantines() *quarantines {
 	table := quarantine.NewTable()
 	return &quarantines{
-		table: table, detector: poison.New(poison.Config{Known: table.Get, Now: clock.Now}), memory: poison.NewMemory(clock.Now),
+		table: table, detector: poison.New(poison.Config{Known: table.Get, Now: clock.Now}), memory: poison.NewHistory(clock.Now),
 		found: make(map[quarantine.Fingerprint]bool), save: make(chan struct{}, 1), wake: make(chan struct{}, 1),
 	}
 }
@@ -73,7 +73,7 @@
 
 // HungUp implements ingress.Quarantine.
 func (q *quarantines) HungUp(h poison.HangUp) {
-	if !q.memory.HungUp(h.Fingerprint) {
+	if !q.memory.RecordHangUp(h.Fingerprint) {
 		return
 	}
 	q.mu.Lock()
@@ -94,7 +94,7 @@
 
 // Answered implements ingress.Quarantine.
 func (q *quarantines) Answered(f quarantine.Fingerprint) {
-	if !q.memory.Answered(f) {
+	if !q.memory.RecordAnswer(f) {
 		return
 	}
 	q.mu.Lock()
@@ -151,7 +151,7 @@
 func (q *quarantines) idle() bool {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	return len(q.hangUps)+len(q.answered) == 0 && q.detector.Settled()
+	return len(q.hangUps)+len(q.answered) == 0 && q.detector.Idle()
 }
 
 // quarantineLoop tells hang-ups, and finds out what ends workers from those that this
@@ -169,7 +169,7 @@
 		if due, answered := q.take(clock.Now()); len(due)+len(answered) > 0 {
 			go g.tellHangUps(due, answered)
 		}
-		for _, e := range q.detector.Decide() {
+		for _, e := range q.detector.Detect() {
 			g.quarantineFound(e)
 		}
 	}
@@ -220,12 +220,12 @@
 	var known []quarantine.Entry
 	for _, h := range hangUps {
 		q.detector.Add(h)
-		if e, ok := q.table.Get(h.Fingerprint); ok && e.Holds(now) && len(known) < maxQuarantineTold {
+		if e, ok := q.table.Get(h.Fingerprint); ok && e.Active(now) && len(known) < maxQuarantineTold {
 			known = append(known, e)
 		}
 	}
 	for _, f := range answered {
-		q.detector.Answered(f)
+		q.detector.RecordAnswer(f)
 	}
 	notify(q.wake)
 	return known
@@ -320,7 +320,7 @@
 func (g *Gateway) hearQuarantine(from string, told *peerpb.Quarantine) *peerpb.QuarantineTaken {
 	g.takeEntries(from, told.GetEntries())
 	for _, raw := range told.GetReleased() {
-		f, err := quarantine.FingerprintFrom(raw)
+		f, err := quarantine.FingerprintFromBytes(raw)
 		if err != nil {
 			g.log.Info("quarantine: a release that cannot be read", "peer", from, "error", err.Error())
 			continue
--- a/internal/gateway/quarantinestore.go
+++ b/internal/gateway/quarantinestore.go
@@ -89,7 +89,7 @@
 		return nil
 	}
 	for _, e := range g.quarantines.table.All() {
-		if !e.Forgotten(clock.Now()) {
+		if !e.PastRetention(clock.Now()) {
 			continue
 		}
 		if err := g.cfg.Store.Delete(ctx, kind, e.Fingerprint.String()); err != nil {
@@ -124,7 +124,7 @@
 		entries = append(entries, e)
 	}
 	q.compiled = content
-	q.table.SetStored(entries)
+	q.table.SyncStored(entries)
 	for f := range q.found {
 		if _, ok := q.table.Get(f); !ok {
 			delete(q.found, f)
--- a/internal/gateway/quarantinewire.go
+++ b/internal/gateway/quarantinewire.go
@@ -30,7 +30,7 @@
 	out := &peerpb.HangUps{}
 	for _, h := range hangUps {
 		out.HangUps = append(out.HangUps, &peerpb.HangUp{
-			Fingerprint: h.Fingerprint[:], Target: h.Target, Subject: h.Subject, Service: h.Service, Worker: h.Worker,
+			Fingerprint: h.Fingerprint[:], Target: h.TargetHash, Subject: h.Subject, Service: h.Service, Worker: h.Worker,
 			AgeMillis: uint32(max(now.Sub(h.At), 0).Milliseconds()),
 		})
 	}
@@ -43,18 +43,18 @@
 // fromHangUps reads hang-ups, and returns with an error those that can be read.
 func fromHangUps(in *peerpb.HangUps, now time.Time) (hangUps []poison.HangUp, answered []quarantine.Fingerprint, faults error) {
 	for _, h := range in.GetHangUps()[:min(len(in.GetHangUps()), maxHangUps)] {
-		f, err := quarantine.FingerprintFrom(h.GetFingerprint())
+		f, err := quarantine.FingerprintFromBytes(h.GetFingerprint())
 		if err != nil {
 			faults = errors.CombineErrors(faults, err)
 			continue
 		}
 		hangUps = append(hangUps, poison.HangUp{
-			Fingerprint: f, Target: h.GetTarget(), Subject: h.GetSubject(), Service: h.GetService(), Worker: h.GetWorker(),
+			Fingerprint: f, TargetHash: h.GetTarget(), Subject: h.GetSubject(), Service: h.GetService(), Worker: h.GetWorker(),
 			At: now.Add(-time.Duration(h.GetAgeMillis()) * time.Millisecond),
 		})
 	}
 	for _, raw := range in.GetAnswered()[:min(len(in.GetAnswered()), maxHangUps)] {
-		f, err := quarantine.FingerprintFrom(raw)
+		f, err := quarantine.FingerprintFromBytes(raw)
 		if err != nil {
 			faults = errors.CombineErrors(faults, err)
 			continue
--- a/internal/gateway/rolloutloop.go
+++ b/internal/gateway/rolloutloop.go
@@ -48,7 +48,7 @@
 		sum = &empty
 		s[service] = sum
 	}
-	sum.Join(r)
+	sum.Merge(r)
 }
 
 // rolloutWatchLoop keeps the orders for new versions known, while this VM watches for
@@ -108,18 +108,18 @@
 	}
 	before, left := o.decider.Phase(), end.Sub(now)
 	step := o.decider.Decide(rolling.Inputs{
-		Now: now, Left: left, Report: *seen, VMs: len(g.live()), Slots: g.usableSlots(o.service, worker.TrackNew), OldSlots: g.usableSlots(o.service, worker.TrackStable),
+		Now: now, TimeLeft: left, Report: *seen, VMs: len(g.live()), Slots: g.usableSlots(o.service, worker.TrackNew), OldSlots: g.usableSlots(o.service, worker.TrackStable),
 	})
 	if step.Phase != before {
 		g.log.Info("rollout: "+step.Phase.String(), "service", o.service, "version", o.name, "reason", step.Reason,
-			"left_ms", left.Milliseconds(), "vms", seen.InPhase(rollout.PhaseOrdered))
+			"left_ms", left.Milliseconds(), "vms", seen.VMsAtLeast(rollout.PhaseOrdered))
 		g.cfg.Metrics.RolloutPhase(o.service, int(step.Phase))
 	}
 	g.rollouts.note(o, step.Reason, true)
 	if step.Phase == before && now.Sub(o.logged) >= time.Second {
 		o.logged = now
 		g.log.Info("rollout: goes on", "service", o.service, "phase", step.Phase.String(), "reason", step.Reason, "left_ms", left.Milliseconds(),
-			"under_way_old", seen.UnderWayOld, "under_way_new", seen.UnderWayNew, "vms", seen.InPhase(rollout.PhaseOrdered))
+			"under_way_old", seen.InFlightOld, "under_way_new", seen.InFlightNew, "vms", seen.VMsAtLeast(rollout.PhaseOrdered))
 	}
 	if step.Phase > rollout.PhaseOrdered && held.Phase != stored(step.Phase) {
 		go g.writeRollout(ctx, o, stored(step.Phase))
@@ -127,7 +127,7 @@
 	if step.Phase == rollout.PhaseCompleted {
 		return shiftInterval // It is so once it is written; until then all goes on as it was.
 	}
-	o.share.Hear(step)
+	o.share.Apply(step)
 	switch {
 	case step.Phase != before:
 		return 0
@@ -229,7 +229,7 @@
 	}
 	o.stored = stored
 	if stored.Phase.Final() {
-		o.share.Hear(rolling.Step{Phase: stored.Phase})
+		o.share.Apply(rolling.Step{Phase: stored.Phase})
 	}
 }
 
@@ -349,7 +349,7 @@
 			defer mu.Unlock()
 			for _, r := range reports {
 				if o, ok := g.rollouts.find(r.GetService(), rollout.Version(r.GetVersion())); ok && seen[o] != nil {
-					seen[o].Join(fromReport(r))
+					seen[o].Merge(fromReport(r))
 				}
 			}
 		})
@@ -369,7 +369,7 @@
 		g.log.Info("rollout: a step that cannot be read", "peer", from, "service", o.service, "error", err.Error())
 		return
 	}
-	if o.share.Hear(step) {
+	if o.share.Apply(step) {
 		g.log.V(1).Info("rollout: another VM has decided", "service", o.service, "version", o.name, "phase", step.Phase.String(), "peer", from)
 	}
 	g.rollouts.note(o, step.Reason, false)
@@ -392,8 +392,8 @@
 	if s == nil {
 		return r
 	}
-	r.UnderWayOld = g.underWay(s.Workers.Service(o.service))
-	r.UnderWayNew = g.underWay(s.Workers.Track(o.service, worker.TrackNew))
+	r.InFlightOld = g.underWay(s.Workers.Service(o.service))
+	r.InFlightNew = g.underWay(s.Workers.Track(o.service, worker.TrackNew))
 	return r
 }
 
--- a/internal/gateway/rollouts.go
+++ b/internal/gateway/rollouts.go
@@ -27,7 +27,7 @@
 	// proved; 0 knows no orders.
 	part float64
 	// shares are those of the orders under way, by service.
-	shares atomic.Pointer[map[string]*rolling.Share]
+	shares atomic.Pointer[map[string]*rolling.Splitter]
 
 	mu     sync.Mutex
 	orders map[string]*order
@@ -39,7 +39,7 @@
 	version rollout.Version
 	// name is the version as the operator has written it.
 	name  string
-	share *rolling.Share
+	share *rolling.Splitter
 	// heard is when this VM heard of it.
 	heard time.Time
 	// decider is set once this VM has decided, logged is when it last said what it waits
@@ -63,12 +63,12 @@
 
 func newRollouts(part float64) *rollouts {
 	r := &rollouts{part: part, orders: make(map[string]*order)}
-	r.shares.Store(&map[string]*rolling.Share{})
+	r.shares.Store(&map[string]*rolling.Splitter{})
 	return r
 }
 
 // Share implements ingress.Rollouts.
-func (r *rollouts) Share(service string) *rolling.Share { return (*r.shares.Load())[service] }
+func (r *rollouts) Share(service string) *rolling.Splitter { return (*r.shares.Load())[service] }
 
 // enabled reports whether the fleet knows orders for new versions at all.
 func (r *rollouts) enabled() bool { return r.part > 0 }
@@ -92,11 +92,11 @@
 			held.stored = next
 		}
 		if next.Phase.Final() {
-			held.share.Hear(rolling.Step{Phase: next.Phase})
+			held.share.Apply(rolling.Step{Phase: next.Phase})
 		}
 	}
 	maps.DeleteFunc(r.orders, func(service string, _ *order) bool { return !listed[service] })
-	shares := make(map[string]*rolling.Share, len(r.orders))
+	shares := make(map[string]*rolling.Splitter, len(r.orders))
 	for service, o := range r.orders {
 		if !o.stored.Phase.Final() {
 			shares[service] = o.share
@@ -115,7 +115,7 @@
 	}
 	o := &order{
 		service: next.Service, version: next.Version, name: next.Name, stored: next, heard: now, end: now.Add(next.Duration - had),
-		share: rolling.NewShare(rolling.ShareConfig{Service: next.Service, Version: next.Version, Part: r.part, Now: clock.Now}),
+		share: rolling.NewSplitter(rolling.SplitterConfig{Service: next.Service, Version: next.Version, MaxFraction: r.part, Now: clock.Now}),
 	}
 	r.orders[next.Service] = o
 	return o
--- a/internal/gateway/rolloutstatus.go
+++ b/internal/gateway/rolloutstatus.go
@@ -36,7 +36,7 @@
 		LeftMillis: o.end.Sub(clock.Now()).Milliseconds(), Decides: o.decides,
 	}
 	s.Requests, s.Sent = o.share.Counts()
-	brought := report.Sum()
+	brought := report.NewByRoute()
 	for _, route := range slices.Sorted(maps.Keys(report.Old)) {
 		s.Routes = append(s.Routes, operator.RolloutRoute{Route: route, Old: report.Old[route], New: brought[route]})
 	}
@@ -52,7 +52,7 @@
 	}
 	g.log.Info("rollout: stopped by an operator", "service", service, "version", o.name)
 	const reason = "an operator has stopped it"
-	o.share.Hear(rolling.Step{Phase: rollout.PhaseRolledBack, Reason: reason})
+	o.share.Apply(rolling.Step{Phase: rollout.PhaseRolledBack, Reason: reason})
 	g.rollouts.note(o, reason, false)
 	return true
 }
--- a/internal/gateway/rolloutwire.go
+++ b/internal/gateway/rolloutwire.go
@@ -24,12 +24,12 @@
 	message := &peerpb.RolloutStep{
 		Service: o.service, Version: uint64(o.version), Phase: uint32(step.Phase), WarmUp: step.WarmUp, Closed: step.Closed,
 		LeftMillis: end.Sub(now).Milliseconds(), Reason: step.Reason, SlowAfterMillis: make(map[string]uint32, len(step.SlowAfter)),
-		PartsPpm: make(map[string]uint32, len(step.Parts)),
+		PartsPpm: make(map[string]uint32, len(step.CanaryFractions)),
 	}
 	for route, after := range step.SlowAfter {
 		message.SlowAfterMillis[route] = uint32(after.Milliseconds())
 	}
-	for route, part := range step.Parts {
+	for route, part := range step.CanaryFractions {
 		message.PartsPpm[route] = uint32(part * million)
 	}
 	return message
@@ -38,14 +38,14 @@
 func fromStep(message *peerpb.RolloutStep) (rolling.Step, error) {
 	step := rolling.Step{
 		Phase: rollout.Phase(message.GetPhase()), WarmUp: message.GetWarmUp(), Closed: message.GetClosed(), Reason: message.GetReason(),
-		SlowAfter: make(map[string]time.Duration, len(message.GetSlowAfterMillis())),
-		Parts:     make(map[string]float64, len(message.GetPartsPpm())),
+		SlowAfter:       make(map[string]time.Duration, len(message.GetSlowAfterMillis())),
+		CanaryFractions: make(map[string]float64, len(message.GetPartsPpm())),
 	}
 	if message.GetPhase() > uint32(rollout.PhaseCompleted) || len(message.GetSlowAfterMillis())+len(message.GetPartsPpm()) > maxTallies {
 		return step, errors.Newf("phase %d with %d and %d routes", message.GetPhase(), len(message.GetSlowAfterMillis()), len(message.GetPartsPpm()))
 	}
 	for route, ppm := range message.GetPartsPpm() {
-		step.Parts[route] = float64(min(ppm, million)) / million
+		step.CanaryFractions[route] = float64(min(ppm, million)) / million
 	}
 	for route, millis := range message.GetSlowAfterMillis() {
 		step.SlowAfter[route] = time.Duration(millis) * time.Millisecond
@@ -55,14 +55,14 @@
 
 func toReport(o *order, r *rollout.Report) *peerpb.RolloutReport {
 	message := &peerpb.RolloutReport{
-		Service: o.service, Version: uint64(o.version), UnderWayOld: uint32(max(r.UnderWayOld, 0)),
-		UnderWayNew: uint32(max(r.UnderWayNew, 0)), Keys: r.Keys.Bytes(),
+		Service: o.service, Version: uint64(o.version), UnderWayOld: uint32(max(r.InFlightOld, 0)),
+		UnderWayNew: uint32(max(r.InFlightNew, 0)), Keys: r.Keys.Bytes(),
 	}
 	for _, vms := range r.VMs {
 		message.Vms = append(message.Vms, uint32(vms))
 	}
 	for route, t := range r.Old {
-		message.Old = append(message.Old, toTally(rollout.Subject{Route: route}, t))
+		message.Old = append(message.Old, toTally(rollout.TallyKey{Route: route}, t))
 	}
 	for subject, t := range r.New {
 		message.New = append(message.New, toTally(subject, t))
@@ -70,7 +70,7 @@
 	return message
 }
 
-func toTally(subject rollout.Subject, t rollout.Tally) *peerpb.RolloutTally {
+func toTally(subject rollout.TallyKey, t rollout.Tally) *peerpb.RolloutTally {
 	return &peerpb.RolloutTally{
 		Route: subject.Route, Worker: subject.Worker, Ended: t.Ended, Failed: t.Failed, Slow: t.Slow, LogMillis: t.LogMillis,
 	}
@@ -78,8 +78,8 @@
 
 func fromReport(message *peerpb.RolloutReport) rollout.Report {
 	r := rollout.NewReport()
-	r.UnderWayOld, r.UnderWayNew = int(message.GetUnderWayOld()), int(message.GetUnderWayNew())
-	r.Keys = rollout.SketchOf(message.GetKeys())
+	r.InFlightOld, r.InFlightNew = int(message.GetUnderWayOld()), int(message.GetUnderWayNew())
+	r.Keys = rollout.ParseSketch(message.GetKeys())
 	for phase, vms := range message.GetVms()[:min(len(message.GetVms()), len(r.VMs))] {
 		r.VMs[phase] = int(vms)
 	}
@@ -87,7 +87,7 @@
 		r.Old[t.GetRoute()] = fromTally(t)
 	}
 	for _, t := range message.GetNew()[:min(len(message.GetNew()), maxTallies)] {
-		r.New[rollout.Subject{Route: t.GetRoute(), Worker: t.GetWorker()}] = fromTally(t)
+		r.New[rollout.TallyKey{Route: t.GetRoute(), Worker: t.GetWorker()}] = fromTally(t)
 	}
 	return r
 }
--- a/internal/program/quarantine.go
+++ b/internal/program/quarantine.go
@@ -60,7 +60,7 @@
 	printf(table, "FINGERPRINT\tREQUEST\tSERVICE\tTIMES\tHELD FOR\tWORKERS THAT ENDED\n")
 	for _, e := range entries {
 		held := "over"
-		if e.Holds(now) {
+		if e.Active(now) {
 			held = e.Until.Sub(now).Round(time.Second).String()
 		}
 		printf(table, "%s\t%s\t%s\t%d\t%s\t%s\n", e.Fingerprint, e.Subject, e.Service, e.Times, held, strings.Join(e.Workers, " "))
--- a/state/quarantine/fingerprint.go
+++ b/state/quarantine/fingerprint.go
@@ -33,8 +33,8 @@
 	Length int64
 }
 
-// FingerprintOf returns the fingerprint of a request.
-func FingerprintOf(id Identity) Fingerprint {
+// ComputeFingerprint returns the fingerprint of a request.
+func ComputeFingerprint(id Identity) Fingerprint {
 	hash := sha256.New()
 	var length [8]byte
 	for _, part := range []string{id.Method, id.Host, id.Target, id.Credential} {
@@ -61,9 +61,9 @@
 	return Fingerprint(raw), nil
 }
 
-// FingerprintFrom converts raw bytes to a fingerprint. It returns ErrFingerprint if
+// FingerprintFromBytes converts raw bytes to a fingerprint. It returns ErrFingerprint if
 // their number is not FingerprintSize.
-func FingerprintFrom(raw []byte) (Fingerprint, error) {
+func FingerprintFromBytes(raw []byte) (Fingerprint, error) {
 	if len(raw) != FingerprintSize {
 		return Fingerprint{}, errors.Wrapf(ErrFingerprint, "%d bytes", len(raw))
 	}
--- a/state/quarantine/fingerprint_test.go
+++ b/state/quarantine/fingerprint_test.go
@@ -23,21 +23,21 @@
 		"boundary between parts": func(id *quarantine.Identity) { id.Host, id.Target = "h/", "a" },
 	}
 	Convey("Equal requests have the same fingerprint", t, func() {
-		So(quarantine.FingerprintOf(base), ShouldEqual, quarantine.FingerprintOf(base))
+		So(quarantine.ComputeFingerprint(base), ShouldEqual, quarantine.ComputeFingerprint(base))
 	})
 	for name, change := range changes {
 		Convey("A different "+name+" changes the fingerprint", t, func() {
 			other := base
 			change(&other)
-			So(quarantine.FingerprintOf(other), ShouldNotEqual, quarantine.FingerprintOf(base))
+			So(quarantine.ComputeFingerprint(other), ShouldNotEqual, quarantine.ComputeFingerprint(base))
 		})
 	}
 	Convey("Its text and bytes round-trip", t, func() {
-		f := quarantine.FingerprintOf(base)
+		f := quarantine.ComputeFingerprint(base)
 		parsed, err := quarantine.ParseFingerprint(f.String())
 		So(err, ShouldBeNil)
 		So(parsed, ShouldEqual, f)
-		parsed, err = quarantine.FingerprintFrom(f[:])
+		parsed, err = quarantine.FingerprintFromBytes(f[:])
 		So(err, ShouldBeNil)
 		So(parsed, ShouldEqual, f)
 	})
@@ -56,7 +56,7 @@
 		id := quarantine.Identity{Method: "GET", Host: "schools.example", Target: "/status/17/ab", Body: make([]byte, size), Length: int64(size)}
 		b.Run(name, func(b *testing.B) {
 			for b.Loop() {
-				quarantine.FingerprintOf(id)
+				quarantine.ComputeFingerprint(id)
 			}
 		})
 	}
--- a/state/quarantine/quarantine.go
+++ b/state/quarantine/quarantine.go
@@ -46,9 +46,9 @@
 // Entry is a quarantined request. Its methods do not modify it.
 type Entry struct {
 	Fingerprint Fingerprint
-	// Target is the HashTarget of the request, checked before the fingerprint is
+	// TargetHash is the HashTarget of the request, checked before the fingerprint is
 	// computed.
-	Target uint64
+	TargetHash uint64
 	// Subject describes the request to operators: method, host and path.
 	Subject string
 	Service string
@@ -60,8 +60,8 @@
 	Times int
 }
 
-// TargetOf returns a hash of the host and the request target.
-func TargetOf(host, target string) uint64 { return xxhash.Sum64String(host + "\x00" + target) }
+// HashTarget returns a hash of the host and the request target.
+func HashTarget(host, target string) uint64 { return xxhash.Sum64String(host + "\x00" + target) }
 
 // Renewed returns the entry with its next term, starting now. For an entry that was
 // never quarantined this is the first term.
@@ -79,11 +79,11 @@
 
 func truncate(text string) string { return text[:min(len(text), maxText)] }
 
-// Holds reports whether the request is quarantined now.
-func (e Entry) Holds(now time.Time) bool { return now.Before(e.Until) }
+// Active reports whether the request is quarantined now.
+func (e Entry) Active(now time.Time) bool { return now.Before(e.Until) }
 
-// Forgotten reports whether the entry can be deleted.
-func (e Entry) Forgotten(now time.Time) bool { return now.After(e.Until.Add(retention)) }
+// PastRetention reports whether the entry can be deleted.
+func (e Entry) PastRetention(now time.Time) bool { return now.After(e.Until.Add(retention)) }
 
 // supersedes reports whether the entry is a later one of the same request than other.
 func (e Entry) supersedes(other Entry) bool {
@@ -115,7 +115,7 @@
 // Encode returns the entry as JSON.
 func (e Entry) Encode() ([]byte, error) {
 	return json.Marshal(entryJSON{
-		Fingerprint: e.Fingerprint.String(), Target: e.Target, Subject: e.Subject, Service: e.Service, Workers: e.Workers,
+		Fingerprint: e.Fingerprint.String(), Target: e.TargetHash, Subject: e.Subject, Service: e.Service, Workers: e.Workers,
 		SinceMillis: e.Since.UnixMilli(), UntilMillis: e.Until.UnixMilli(), Times: e.Times,
 	})
 }
@@ -138,7 +138,7 @@
 		return Entry{}, errors.Wrap(ErrEntry, "too long")
 	}
 	return Entry{
-		Fingerprint: f, Target: decoded.Target, Subject: decoded.Subject, Service: decoded.Service, Workers: decoded.Workers,
+		Fingerprint: f, TargetHash: decoded.Target, Subject: decoded.Subject, Service: decoded.Service, Workers: decoded.Workers,
 		Since: since, Until: until, Times: decoded.Times,
 	}, nil
 }
--- a/state/quarantine/table.go
+++ b/state/quarantine/table.go
@@ -37,7 +37,7 @@
 		return Entry{}, false
 	}
 	e, ok := t.entries[fingerprint()]
-	return e, ok && e.Holds(now)
+	return e, ok && e.Active(now)
 }
 
 // Get returns the entry of a fingerprint, whether its term has ended or not.
@@ -65,7 +65,7 @@
 		t.remove(slices.MinFunc(t.list(), compareSeverity).Fingerprint)
 	}
 	t.entries[e.Fingerprint] = e
-	t.targets[e.Target]++
+	t.targets[e.TargetHash]++
 	return true
 }
 
@@ -88,15 +88,15 @@
 		return false
 	}
 	delete(t.entries, f)
-	if t.targets[e.Target]--; t.targets[e.Target] == 0 {
-		delete(t.targets, e.Target)
+	if t.targets[e.TargetHash]--; t.targets[e.TargetHash] == 0 {
+		delete(t.targets, e.TargetHash)
 	}
 	return true
 }
 
-// SetStored replaces the set of stored entries and merges them. An entry that was in
+// SyncStored replaces the set of stored entries and merges them. An entry that was in
 // the store and is there no longer has been released, and is deleted.
-func (t *Table) SetStored(entries []Entry) {
+func (t *Table) SyncStored(entries []Entry) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	stored := make(map[Fingerprint]Entry, len(entries))
--- a/state/quarantine/table_test.go
+++ b/state/quarantine/table_test.go
@@ -16,7 +16,7 @@
 
 func newEntry(name string, times int, since time.Time) quarantine.Entry {
 	e := quarantine.Entry{
-		Fingerprint: quarantine.FingerprintOf(quarantine.Identity{Target: name}), Target: quarantine.TargetOf("h", name),
+		Fingerprint: quarantine.ComputeFingerprint(quarantine.Identity{Target: name}), TargetHash: quarantine.HashTarget("h", name),
 		Subject: "GET h" + name, Service: "s", Workers: []string{"w1", "w2", "w3"}, Times: times - 1,
 	}
 	return e.Renewed(since)
@@ -27,7 +27,7 @@
 	Convey("A table", t, func() {
 		table, e := quarantine.NewTable(), newEntry("/bad", 1, now)
 		find := func(at time.Time) bool {
-			_, held := table.Find(e.Target, func() quarantine.Fingerprint { return e.Fingerprint }, at)
+			_, held := table.Find(e.TargetHash, func() quarantine.Fingerprint { return e.Fingerprint }, at)
 			return held
 		}
 		So(table.Hear(e), ShouldBeTrue)
@@ -38,7 +38,7 @@
 			So(known, ShouldBeTrue)
 		})
 		Convey("computes no fingerprint for a request to another target", func() {
-			_, held := table.Find(e.Target+1, func() quarantine.Fingerprint { panic("fingerprint computed") }, now)
+			_, held := table.Find(e.TargetHash+1, func() quarantine.Fingerprint { panic("fingerprint computed") }, now)
 			So(held, ShouldBeFalse)
 		})
 		Convey("accepts a renewed entry and ignores older ones", func() {
@@ -50,7 +50,7 @@
 		})
 		Convey("lists entries missing from the store", func() {
 			So(table.Unstored(), ShouldHaveLength, 1)
-			table.SetStored([]quarantine.Entry{e})
+			table.SyncStored([]quarantine.Entry{e})
 			So(table.Unstored(), ShouldBeEmpty)
 			table.Hear(e.Renewed(e.Until))
 			So(table.Unstored(), ShouldHaveLength, 1)
@@ -58,8 +58,8 @@
 		Convey("deletes entries that were removed from the store", func() {
 			unsaved := newEntry("/heard", 1, now)
 			table.Hear(unsaved)
-			table.SetStored([]quarantine.Entry{e})
-			table.SetStored(nil)
+			table.SyncStored([]quarantine.Entry{e})
+			table.SyncStored(nil)
 			So(find(now), ShouldBeFalse)
 			_, known := table.Get(unsaved.Fingerprint)
 			So(known, ShouldBeTrue)
--- a/state/quota/quota.go
+++ b/state/quota/quota.go
@@ -34,9 +34,9 @@
 
 const requestCost = uint64(share.Whole)
 
-// Account is the token bucket of one cap at one VM.
+// Bucket is the token bucket of one cap at one VM.
 // It is safe for concurrent use.
-type Account struct {
+type Bucket struct {
 	mu     sync.Mutex
 	limit  share.PPM
 	tokens uint64
@@ -45,11 +45,11 @@
 }
 
 // New returns an empty bucket for a cap.
-func New(limit share.PPM) *Account { return &Account{limit: limit} }
+func New(limit share.PPM) *Bucket { return &Bucket{limit: limit} }
 
-// Arrive counts one request to which the cap applies, moved or not, and adds the
+// AddRequest counts one request to which the cap applies, moved or not, and adds the
 // cap's fraction to the bucket.
-func (b *Account) Arrive() {
+func (b *Bucket) AddRequest() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.total++
@@ -58,7 +58,7 @@
 
 // SetLimit changes the cap. Lowering it empties the bucket, so that the new cap
 // holds from the next request on.
-func (b *Account) SetLimit(limit share.PPM) {
+func (b *Bucket) SetLimit(limit share.PPM) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if limit < b.limit {
@@ -68,20 +68,20 @@
 }
 
 // Counts returns how many requests arrived and how many of them were moved.
-func (b *Account) Counts() (total, moved uint64) {
+func (b *Bucket) Counts() (total, moved uint64) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.total, b.moved
 }
 
 // Limit returns the cap.
-func (b *Account) Limit() share.PPM {
+func (b *Bucket) Limit() share.PPM {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.limit
 }
 
-func (b *Account) tryTake() bool {
+func (b *Bucket) tryTake() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.tokens < requestCost {
@@ -94,22 +94,22 @@
 
 // nearlyFull reports whether the bucket holds more than Burst-1 requests, so that
 // further tokens would soon be discarded.
-func (b *Account) nearlyFull() bool {
+func (b *Bucket) nearlyFull() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.tokens > requestCost*(Burst-1)
 }
 
-func (b *Account) refund() {
+func (b *Bucket) refund() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.tokens = min(b.tokens+requestCost, requestCost*Burst+uint64(b.limit))
 	b.moved--
 }
 
-// Spend takes the tokens of one moved request from every bucket, or from none.
+// TakeAll takes the tokens of one moved request from every bucket, or from none.
 // It reports whether all buckets had enough.
-func Spend(buckets ...*Account) bool {
+func TakeAll(buckets ...*Bucket) bool {
 	for i, b := range buckets {
 		if b.tryTake() {
 			continue
@@ -122,15 +122,15 @@
 	return true
 }
 
-// SpendSpare is like TakeAll, but takes tokens only if the first bucket is nearly
+// TakeSurplus is like TakeAll, but takes tokens only if the first bucket is nearly
 // full. It lets other requests use up surplus tokens without displacing the
 // requests that the cap is meant for.
-func SpendSpare(first *Account, others ...*Account) bool {
-	return first.nearlyFull() && Spend(append([]*Account{first}, others...)...)
+func TakeSurplus(first *Bucket, others ...*Bucket) bool {
+	return first.nearlyFull() && TakeAll(append([]*Bucket{first}, others...)...)
 }
 
 // Refund returns the tokens of a request that is known not to have been moved.
-func Refund(buckets ...*Account) {
+func Refund(buckets ...*Bucket) {
 	for _, b := range buckets {
 		b.refund()
 	}
--- a/state/quota/quota_test.go
+++ b/state/quota/quota_test.go
@@ -14,7 +14,7 @@
 
 // vm is one of several VMs that share a cap without communicating.
 type vm struct {
-	bucket       *quota.Account
+	bucket       *quota.Bucket
 	total, moved uint64
 	history      []bool // whether each request was moved
 }
@@ -37,8 +37,8 @@
 				v.bucket.SetLimit(limit / 2)
 				v.bucket.SetLimit(limit)
 			}
-			v.bucket.Arrive()
-			took := rapid.Bool().Draw(t, "wanted") && quota.Spend(v.bucket)
+			v.bucket.AddRequest()
+			took := rapid.Bool().Draw(t, "wanted") && quota.TakeAll(v.bucket)
 			total++
 			if took && rapid.IntRange(0, 9).Draw(t, "returned") == 0 {
 				quota.Refund(v.bucket)
@@ -50,7 +50,7 @@
 			}
 			v.total++
 			v.history = append(v.history, took)
-			if moved > limit.Of(total) {
+			if moved > limit.Scale(total) {
 				t.Fatalf("moved %d of %d with a cap of %s", moved, total, limit)
 			}
 		}
@@ -67,7 +67,7 @@
 			if history[to] {
 				moved++
 			}
-			if n := uint64(to - from + 1); moved > limit.Of(n)+quota.Burst+1 {
+			if n := uint64(to - from + 1); moved > limit.Scale(n)+quota.Burst+1 {
 				t.Fatalf("moved %d of %d consecutive requests with a cap of %s", moved, n, limit)
 			}
 		}
@@ -81,18 +81,18 @@
 		first, second, both := quota.New(share.Whole), quota.New(300_000), quota.New(common)
 		total, moved := uint64(0), uint64(0)
 		for range rapid.IntRange(1, 300).Draw(t, "requests") {
-			for _, b := range []*quota.Account{first, second, both} {
-				b.Arrive()
+			for _, b := range []*quota.Bucket{first, second, both} {
+				b.AddRequest()
 			}
 			total++
 			own := first
 			if rapid.Bool().Draw(t, "second") {
 				own = second
 			}
-			if quota.Spend(own, both) {
+			if quota.TakeAll(own, both) {
 				moved++
 			}
-			if moved > common.Of(total) {
+			if moved > common.Scale(total) {
 				t.Fatalf("moved %d of %d with a common cap of %s", moved, total, common)
 			}
 		}
@@ -102,8 +102,8 @@
 func TestThreeRequestsMoveNothingUnderTenPercent(t *testing.T) {
 	b := quota.New(10 * share.Percent)
 	for range 3 {
-		b.Arrive()
-		if quota.Spend(b) {
+		b.AddRequest()
+		if quota.TakeAll(b) {
 			t.Fatal("a request was moved")
 		}
 	}
--- a/state/rollout/report.go
+++ b/state/rollout/report.go
@@ -21,9 +21,9 @@
 	t.LogMillis += other.LogMillis
 }
 
-// Since returns the increase over an earlier tally. Counts drop when VMs leave and
+// Delta returns the increase over an earlier tally. Counts drop when VMs leave and
 // take theirs with them; a drop counts as no increase.
-func (t Tally) Since(earlier Tally) Tally {
+func (t Tally) Delta(earlier Tally) Tally {
 	delta := Tally{}
 	if t.Ended > earlier.Ended {
 		delta.Ended = t.Ended - earlier.Ended
@@ -37,8 +37,8 @@
 	return delta
 }
 
-// Subject is what responses of a new version are counted by.
-type Subject struct {
+// TallyKey is what responses of a new version are counted by.
+type TallyKey struct {
 	Route string
 	// Worker identifies the incarnation of a canary worker, "" for all other workers.
 	Worker string
@@ -51,20 +51,20 @@
 	VMs [phaseCount]int
 	// Old and New count the finished requests of each version, Old by route.
 	Old map[string]Tally
-	New map[Subject]Tally
-	// UnderWayOld and UnderWayNew count the requests in flight at workers of each version.
-	UnderWayOld, UnderWayNew int
+	New map[TallyKey]Tally
+	// InFlightOld and InFlightNew count the requests in flight at workers of each version.
+	InFlightOld, InFlightNew int
 	// Keys estimates the distinct keys of the requests in New.
 	Keys Sketch
 }
 
 // NewReport returns an empty report.
 func NewReport() Report {
-	return Report{Old: make(map[string]Tally), New: make(map[Subject]Tally)}
+	return Report{Old: make(map[string]Tally), New: make(map[TallyKey]Tally)}
 }
 
-// Join adds the report of other VMs.
-func (r *Report) Join(other Report) {
+// Merge adds the report of other VMs.
+func (r *Report) Merge(other Report) {
 	for phase, n := range other.VMs {
 		r.VMs[phase] += n
 	}
@@ -78,13 +78,13 @@
 		sum.Add(t)
 		r.New[key] = sum
 	}
-	r.UnderWayOld += other.UnderWayOld
-	r.UnderWayNew += other.UnderWayNew
-	r.Keys.Join(other.Keys)
+	r.InFlightOld += other.InFlightOld
+	r.InFlightNew += other.InFlightNew
+	r.Keys.Merge(other.Keys)
 }
 
-// InPhase returns the number of VMs in phase p or a later one.
-func (r *Report) InPhase(p Phase) int {
+// VMsAtLeast returns the number of VMs in phase p or a later one.
+func (r *Report) VMsAtLeast(p Phase) int {
 	n := 0
 	for _, vms := range r.VMs[p:] {
 		n += vms
@@ -92,8 +92,8 @@
 	return n
 }
 
-// Furthest returns the latest phase of any VM.
-func (r *Report) Furthest() Phase {
+// MaxPhase returns the latest phase of any VM.
+func (r *Report) MaxPhase() Phase {
 	for p := phaseCount - 1; p > 0; p-- {
 		if r.VMs[p] > 0 {
 			return Phase(p)
@@ -102,8 +102,8 @@
 	return PhaseOrdered
 }
 
-// Sum returns the tallies of the new version, summed by route.
-func (r *Report) Sum() map[string]Tally {
+// NewByRoute returns the tallies of the new version, summed by route.
+func (r *Report) NewByRoute() map[string]Tally {
 	sums := make(map[string]Tally)
 	for key, t := range r.New {
 		sum := sums[key.Route]
--- a/state/rollout/rollout_test.go
+++ b/state/rollout/rollout_test.go
@@ -41,21 +41,21 @@
 func TestReportsMerge(t *testing.T) {
 	Convey("Reports of two VMs are summed", t, func() {
 		a, b := rollout.NewReport(), rollout.NewReport()
-		canary := rollout.Subject{Route: "r", Worker: "w"}
+		canary := rollout.TallyKey{Route: "r", Worker: "w"}
 		a.VMs[rollout.PhaseTrial], b.VMs[rollout.PhaseShift] = 1, 1
 		a.New[canary], b.New[canary] = rollout.Tally{Ended: 2, Failed: 1}, rollout.Tally{Ended: 3, Slow: 1}
-		a.Old["r"], a.UnderWayOld, b.UnderWayOld = rollout.Tally{Ended: 7}, 2, 3
-		a.Join(b)
+		a.Old["r"], a.InFlightOld, b.InFlightOld = rollout.Tally{Ended: 7}, 2, 3
+		a.Merge(b)
 		So(a.New[canary], ShouldResemble, rollout.Tally{Ended: 5, Failed: 1, Slow: 1})
-		So(a.Sum()["r"].Ended, ShouldEqual, 5)
-		So(a.UnderWayOld, ShouldEqual, 5)
-		So(a.InPhase(rollout.PhaseTrial), ShouldEqual, 2)
-		So(a.InPhase(rollout.PhaseShift), ShouldEqual, 1)
-		So(a.Furthest(), ShouldEqual, rollout.PhaseShift)
+		So(a.NewByRoute()["r"].Ended, ShouldEqual, 5)
+		So(a.InFlightOld, ShouldEqual, 5)
+		So(a.VMsAtLeast(rollout.PhaseTrial), ShouldEqual, 2)
+		So(a.VMsAtLeast(rollout.PhaseShift), ShouldEqual, 1)
+		So(a.MaxPhase(), ShouldEqual, rollout.PhaseShift)
 	})
 	Convey("A lower count is no increase", t, func() {
-		So(rollout.Tally{Ended: 3}.Since(rollout.Tally{Ended: 5, Failed: 2}), ShouldResemble, rollout.Tally{})
-		So(rollout.Tally{Ended: 6, Failed: 4}.Since(rollout.Tally{Ended: 5, Failed: 1}), ShouldResemble, rollout.Tally{Ended: 1, Failed: 1})
+		So(rollout.Tally{Ended: 3}.Delta(rollout.Tally{Ended: 5, Failed: 2}), ShouldResemble, rollout.Tally{})
+		So(rollout.Tally{Ended: 6, Failed: 4}.Delta(rollout.Tally{Ended: 5, Failed: 1}), ShouldResemble, rollout.Tally{Ended: 1, Failed: 1})
 	})
 }
 
@@ -70,11 +70,11 @@
 					b.Add(hash)
 				}
 			}
-			a.Join(rollout.SketchOf(b.Bytes()))
+			a.Merge(rollout.ParseSketch(b.Bytes()))
 			So(a.Count(), ShouldAlmostEqual, float64(keys), 1+0.1*float64(keys))
 		})
 	}
 	Convey("Bytes of the wrong length give an empty sketch", t, func() {
-		So(rollout.SketchOf([]byte{1, 2}).Count(), ShouldEqual, 0)
+		So(rollout.ParseSketch([]byte{1, 2}).Count(), ShouldEqual, 0)
 	})
 }
--- a/state/rollout/sketch.go
+++ b/state/rollout/sketch.go
@@ -26,8 +26,8 @@
 	s[bit/64] |= 1 << (bit % 64)
 }
 
-// Join adds the keys of another sketch.
-func (s *Sketch) Join(other Sketch) {
+// Merge adds the keys of another sketch.
+func (s *Sketch) Merge(other Sketch) {
 	for i := range s {
 		s[i] |= other[i]
 	}
@@ -54,8 +54,8 @@
 	return raw
 }
 
-// SketchOf decodes the output of Bytes. Anything else gives a sketch without keys.
-func SketchOf(raw []byte) Sketch {
+// ParseSketch decodes the output of Bytes. Anything else gives a sketch without keys.
+func ParseSketch(raw []byte) Sketch {
 	var s Sketch
 	if len(raw) != sketchWords*wordBytes {
 		return s
--- a/state/share/share.go
+++ b/state/share/share.go
@@ -82,22 +82,22 @@
 	return nil
 }
 
-// Of returns the fraction of count, rounded down.
-func (p PPM) Of(count uint64) uint64 {
+// Scale returns the fraction of count, rounded down.
+func (p PPM) Scale(count uint64) uint64 {
 	hi, lo := bits.Mul64(count, uint64(p))
 	quotient, _ := bits.Div64(hi%uint64(Whole), lo, uint64(Whole))
 	return quotient
 }
 
-// Subject identifies a client or an affinity key for hashing.
-type Subject [16]byte
+// HashKey identifies a client or an affinity key for hashing.
+type HashKey [16]byte
 
-// Client returns the hash key of a client address.
-func Client(address netip.Addr) Subject { return address.As16() }
+// ClientKey returns the hash key of a client address.
+func ClientKey(address netip.Addr) HashKey { return address.As16() }
 
-// Key returns the hash key for an already hashed value.
-func Key(hash uint64) Subject {
-	var s Subject
+// KeyFromHash returns the hash key for an already hashed value.
+func KeyFromHash(hash uint64) HashKey {
+	var s HashKey
 	binary.LittleEndian.PutUint64(s[:], hash)
 	return s
 }
@@ -109,13 +109,13 @@
 // adds keys, and shrinking it only removes the keys added last, which keeps the
 // receiver's caches warm.
 // It does not allocate.
-func Position(name string, s Subject) PPM {
+func Position(name string, s HashKey) PPM {
 	return PPM(hash(name, s, 0) % uint64(Whole))
 }
 
-// Weighted hashes a key to the index of a weight, in proportion to the weights.
+// PickWeighted hashes a key to the index of a weight, in proportion to the weights.
 // It returns -1 if all weights are zero.
-func Weighted(name string, s Subject, weights []uint32) int {
+func PickWeighted(name string, s HashKey, weights []uint32) int {
 	var total uint64
 	for _, weight := range weights {
 		total += uint64(weight)
@@ -133,7 +133,7 @@
 	return -1
 }
 
-func hash(name string, s Subject, salt byte) uint64 {
+func hash(name string, s HashKey, salt byte) uint64 {
 	var buffer [17]byte
 	copy(buffer[:], s[:])
 	buffer[16] = salt
--- a/state/share/share_test.go
+++ b/state/share/share_test.go
@@ -55,7 +55,7 @@
 		client := netip.AddrFrom4([4]byte(rapid.SliceOfN(rapid.Byte(), 4, 4).Draw(t, "ip")))
 		small := share.PPM(rapid.Uint32Range(0, uint32(share.Whole)).Draw(t, "small"))
 		large := share.PPM(rapid.Uint32Range(uint32(small), uint32(share.Whole)).Draw(t, "large"))
-		position := share.Position("lookup", share.Client(client))
+		position := share.Position("lookup", share.ClientKey(client))
 		if position < small && position >= large {
 			t.Fatalf("client %s left when the share grew from %s to %s", client, small, large)
 		}
@@ -66,7 +66,7 @@
 	const clients = 100_000
 	below := 0
 	for i := range clients {
-		if share.Position("lookup", share.Client(netip.AddrFrom4([4]byte{10, byte(i >> 16), byte(i >> 8), byte(i)}))) < 20*share.Percent {
+		if share.Position("lookup", share.ClientKey(netip.AddrFrom4([4]byte{10, byte(i >> 16), byte(i >> 8), byte(i)}))) < 20*share.Percent {
 			below++
 		}
 	}
--- a/transport/entry/lookup.go
+++ b/transport/entry/lookup.go
@@ -115,7 +115,7 @@
 	for i, t := range m.Targets {
 		weights[i] = t.Weight
 	}
-	return m.Targets[max(0, share.Weighted(m.ID, share.Client(client), weights))].Hall
+	return m.Targets[max(0, share.PickWeighted(m.ID, share.ClientKey(client), weights))].Hall
 }
 
 // members returns the VMs to name. Within a hall they are ranked by the client,
--- a/transport/ingress/ingress.go
+++ b/transport/ingress/ingress.go
@@ -242,7 +242,7 @@
 	service string
 	// share is this VM's part in bringing in a new version of it, nil if there is none,
 	// and track says which workers the next try may go to.
-	share *rollout.Share
+	share *rollout.Splitter
 	track worker.Track
 	until time.Time
 	key   uint64
--- a/transport/ingress/quarantine.go
+++ b/transport/ingress/quarantine.go
@@ -54,7 +54,7 @@
 func (q *request) fingerprint() quarantine.Fingerprint {
 	if q.print == nil {
 		credential, _ := q.handler.cfg.Dialect.APIKey(q.in)
-		f := quarantine.FingerprintOf(quarantine.Identity{
+		f := quarantine.ComputeFingerprint(quarantine.Identity{
 			Method: q.in.Method, Host: q.in.Host, Target: q.in.RequestURI,
 			Credential: credential, Body: q.body.held, Length: q.body.length,
 		})
@@ -70,7 +70,7 @@
 // come back once the request is held no more. A client error would be final for a
 // caller whose request is innocent after all.
 func (q *request) refuseQuarantined() bool {
-	e, held := q.handler.cfg.Quarantine.Find(quarantine.TargetOf(q.in.Host, q.in.RequestURI), q.fingerprint)
+	e, held := q.handler.cfg.Quarantine.Find(quarantine.HashTarget(q.in.Host, q.in.RequestURI), q.fingerprint)
 	if !held {
 		return false
 	}
@@ -94,7 +94,7 @@
 	q.handler.cfg.Metrics.HungUp(w.Service)
 	q.note("worker hung up", fmt.Sprintf("%s at %s, %d others of this VM there", q.fingerprint(), w.ID, others))
 	q.handler.cfg.Quarantine.HungUp(poison.HangUp{
-		Fingerprint: q.fingerprint(), Target: quarantine.TargetOf(q.in.Host, q.in.RequestURI),
+		Fingerprint: q.fingerprint(), TargetHash: quarantine.HashTarget(q.in.Host, q.in.RequestURI),
 		Subject: q.subject(), Service: w.Service, Worker: w.ID, At: q.handler.cfg.Now(),
 	})
 }
--- a/transport/ingress/versions.go
+++ b/transport/ingress/versions.go
@@ -14,25 +14,25 @@
 // several goroutines.
 type Rollouts interface {
 	// Share returns this VM's part in that, nil for a service with one version.
-	Share(service string) *rollout.Share
+	Share(service string) *rollout.Splitter
 }
 
 // noRollouts is the Rollouts of a Handler without one.
 type noRollouts struct{}
 
-func (noRollouts) Share(string) *rollout.Share { return nil }
+func (noRollouts) Share(string) *rollout.Splitter { return nil }
 
 // place chooses a worker for the next try. A new version that has no room for what it was
 // to get leaves it to the old one, as long as that serves.
 func (q *request) place(s *placement.Snapshot, again bool) (placement.Choice, placement.Refusal) {
 	if q.share != nil {
-		q.track = q.share.Choose(q.route.Name, q.key, again)
+		q.track = q.share.ChooseTrack(q.route.Name, q.key, again)
 	}
 	choice, refusal := q.handler.cfg.Placer.Place(s, q.placement())
 	if refusal == placement.RefusalNone || q.track == worker.TrackStable {
 		return choice, refusal
 	}
-	if !q.share.Withdraw() {
+	if !q.share.WithdrawChoice() {
 		return choice, refusal
 	}
 	q.track = worker.TrackStable
@@ -42,13 +42,13 @@
 // withdraw takes back a choice that is not used.
 func (q *request) withdraw() {
 	if q.track != worker.TrackStable {
-		q.share.Withdraw()
+		q.share.WithdrawChoice()
 	}
 }
 
 // versionedTry counts a try for the comparison of two versions.
 type versionedTry struct {
-	try *rollout.Try
+	try *rollout.Attempt
 	// cold is set if the worker has just started, which makes any version slow.
 	cold bool
 }
@@ -61,7 +61,7 @@
 	}
 	w, considered := c.Worker(), c.Considered()
 	cold := len(considered) > 0 && considered[len(considered)-1].Cold
-	return versionedTry{try: q.share.Sent(q.track, q.route.Name, w.Life(), q.key), cold: cold}
+	return versionedTry{try: q.share.RecordSent(q.track, q.route.Name, w.Life(), q.key), cold: cold}
 }
 
 // answered notes the status of a whole answer.
@@ -70,7 +70,7 @@
 		return
 	}
 	failed := failing(status)
-	t.try.Ended(failed || !t.cold, failed)
+	t.try.RecordEnd(failed || !t.cold, failed)
 }
 
 // failed notes a try that brought no answer. Only what the worker may have done wrong
@@ -81,5 +81,5 @@
 		return
 	}
 	counts := f.cause == retry.CauseBroken && !f.notRun && !f.clientLeft
-	t.try.Ended(counts, !ranOut(f.err))
+	t.try.RecordEnd(counts, !ranOut(f.err))
 }
