--- a/state/decision/decision.go
+++ b/state/decision/decision.go
@@ -1,11 +1,11 @@
 // Copyright 2026 The ryehill Authors
 // SPDX-License-Identifier: Apache-2.0
 
-// Package decision keeps the last decisions of a process, each with the inputs
-// that an on-call engineer needs to check it by hand.
+// Package decision keeps the latest decisions of a process, each with its inputs, so that
+// an on-call engineer can check it.
 //
-// The log is bounded: a new record takes the place of the oldest one of its
-// shard. Records are plain data and are not changed once added.
+// The log is bounded: a new record replaces the oldest one of its shard. Records must not
+// be modified once added.
 //
 // # Usage
 //
@@ -26,15 +26,15 @@
 	defaultCapacity = 4096
 )
 
-// Input is one number or fact that a decision used.
+// Input is a value that a decision used.
 type Input struct {
 	Name  string `json:"name"`
 	Value string `json:"value"`
-	// Age is how old a measurement was; zero means it was read at that moment.
+	// Age is the age of a measurement; 0 means that it was read at decision time.
 	Age time.Duration `json:"age_ns,omitempty"`
 }
 
-// Record is one decision.
+// Record describes one decision.
 type Record struct {
 	ID         string    `json:"id"`
 	Time       time.Time `json:"time"`
@@ -46,13 +46,13 @@
 	Inputs     []Input   `json:"inputs"`
 }
 
-// Config sets up a Log. The zero value is useful.
+// Config configures a Log. The zero value is valid.
 type Config struct {
-	// Capacity is the number of records kept. Default 4096.
+	// Capacity is the number of records kept. The default is 4096.
 	Capacity int
 }
 
-// Log keeps the last records. It is safe for concurrent use.
+// Log keeps the latest records. It is safe for concurrent use.
 type Log struct {
 	shards [shardCount]shard
 }
@@ -79,7 +79,7 @@
 	return l
 }
 
-// Add keeps a record. A record with a known ID takes the place of the earlier.
+// Add adds a record. It replaces an earlier record with the same ID.
 func (l *Log) Add(r Record) {
 	s := l.shard(r.ID)
 	s.mu.Lock()
@@ -96,8 +96,7 @@
 	s.next = (s.next + 1) % len(s.records)
 }
 
-// Find returns the record with an ID, or false if it was never added or has
-// been overwritten since.
+// Find returns the record with an ID, or false if there is none or it has been overwritten.
 func (l *Log) Find(id string) (Record, bool) {
 	s := l.shard(id)
 	s.mu.Lock()
--- a/state/demand/demand.go
+++ b/state/demand/demand.go
@@ -1,18 +1,18 @@
 // Copyright 2026 The ryehill Authors
 // SPDX-License-Identifier: Apache-2.0
 
-// Package demand counts what callers ask for, by service and by key, and how
-// long workers take for it.
+// Package demand counts the requests of callers by service and affinity key, and measures
+// how long workers take to respond.
 //
-// Every VM counts its own requests in a Meter. Now and then the counts are taken
-// as a Report and sent to whoever adds up those of all VMs.
+// Each VM counts its own requests in a Meter. The counts are drained periodically into a
+// Report and sent to the VM that sums up those of all VMs.
 //
 // # Usage
 //
 //	meter := demand.NewMeter("north")
-//	meter.Keyed(demand.Key{Service: "lookup", Region: "north", Hash: 17})
-//	meter.Served("lookup", 120*time.Millisecond)
-//	report := meter.Take()
+//	meter.CountRequest(demand.Key{Service: "lookup", Region: "north", Hash: 17})
+//	meter.RecordLatency("lookup", 120*time.Millisecond)
+//	report := meter.Drain()
 package demand
 
 import (
@@ -20,63 +20,62 @@
 	"time"
 )
 
-// Key is one affinity key of a service that callers of a region use.
+// Key is an affinity key of a service, as used by callers of a region.
 type Key struct {
 	Service string
 	Region  string
-	// Hash is that of the affinity key.
+	// Hash is the hash of the affinity key.
 	Hash uint64
 }
 
-// Work is how many requests workers answered, and how long they took together,
-// waiting included.
+// Work is the number of responses of a service's workers and their total latency, including
+// the time spent waiting.
 type Work struct {
 	Answers uint32
 	Time    time.Duration
 }
 
-// Report is what was counted since the last one.
+// Report holds the counts since the previous report.
 type Report struct {
-	// Region is that of the callers.
+	// Region is the region of the callers.
 	Region string
-	// Keys are the requests that have a key, those among them that were
-	// refused included.
+	// Keys counts the requests with an affinity key, including refused ones.
 	Keys map[Key]uint32
-	// Work is by service.
+	// Work holds the latency by service.
 	Work map[string]Work
 }
 
-// NewReport returns an empty report of a region's callers.
+// NewReport returns an empty report for the callers of a region.
 func NewReport(region string) Report {
 	return Report{Region: region, Keys: make(map[Key]uint32), Work: make(map[string]Work)}
 }
 
-// Bounds of one report.
+// Bounds of a report.
 const (
-	// MaxKeys bounds the keys; requests with others are not counted. At 10
-	// bytes a key it is 10 KB, three times a second at most.
+	// MaxKeys bounds the keys of a report to about 10 KB. Requests with further keys are
+	// not counted.
 	MaxKeys = 1024
 	// MaxServices bounds the services.
 	MaxServices = 1024
 )
 
-// Join adds another report of the same region's callers.
+// Join adds another report on callers of the same region.
 func (r *Report) Join(o Report) {
 	for key, n := range o.Keys {
-		r.keyed(key, n)
+		r.addRequests(key, n)
 	}
 	for service, w := range o.Work {
-		r.worked(service, w)
+		r.addLatency(service, w)
 	}
 }
 
-func (r *Report) keyed(key Key, n uint32) {
+func (r *Report) addRequests(key Key, n uint32) {
 	if _, ok := r.Keys[key]; ok || len(r.Keys) < MaxKeys {
 		r.Keys[key] += n
 	}
 }
 
-func (r *Report) worked(service string, w Work) {
+func (r *Report) addLatency(service string, w Work) {
 	if sum, ok := r.Work[service]; ok || len(r.Work) < MaxServices {
 		r.Work[service] = Work{Answers: sum.Answers + w.Answers, Time: sum.Time + w.Time}
 	}
@@ -88,35 +87,35 @@
 	report Report
 }
 
-// NewMeter returns a meter of a VM whose callers are in a region.
+// NewMeter returns a meter for a VM with callers in a region.
 func NewMeter(region string) *Meter { return &Meter{report: NewReport(region)} }
 
-// Keyed counts a request that has a key.
+// Keyed counts a request with an affinity key.
 func (m *Meter) Keyed(key Key) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.report.keyed(key, 1)
+	m.report.addRequests(key, 1)
 }
 
-// Served notes how long a worker of a service took for an answer.
+// Served records the latency of a response from a worker of a service.
 func (m *Meter) Served(service string, took time.Duration) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.report.worked(service, Work{Answers: 1, Time: took})
+	m.report.addLatency(service, Work{Answers: 1, Time: took})
 }
 
-// Add joins what another VM of the region has counted.
+// Add adds the report of another VM of the region.
 func (m *Meter) Add(o Report) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.report.Join(o)
 }
 
-// Take returns what was counted since the last call.
+// Take returns the counts since the previous call and resets them.
 func (m *Meter) Take() Report {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	taken := m.report
-	m.report = NewReport(taken.Region)
-	return taken
+	drained := m.report
+	m.report = NewReport(drained.Region)
+	return drained
 }
--- a/state/holders/holders.go
+++ b/state/holders/holders.go
@@ -1,22 +1,21 @@
 // Copyright 2026 The ryehill Authors
 // SPDX-License-Identifier: Apache-2.0
 
-// Package holders keeps the table of the keys that are held by another worker
-// than the one that hashing gives them.
+// Package holders keeps the table of affinity keys that are assigned to another worker than
+// the one that hashing selects.
 //
-// One VM decides the table; the others are told of its changes and follow it, so
-// that all send a key to the same worker. A key that is not in the table is
-// placed by hashing. A table is numbered twice: an epoch for the VM that decides
-// it, and a version that rises with each of its changes.
+// One VM decides the table, and the others follow it, so that all VMs send a key to the
+// same worker. A key that isn't in the table is placed by hashing. A table has an epoch,
+// which identifies the deciding VM's term, and a version, which increases with each change.
 //
-// Readers take an immutable snapshot and no lock.
+// Readers use an immutable snapshot and take no lock.
 //
 // # Usage
 //
 //	table := holders.NewTable()
-//	table.Change(holders.Change{holders.KeyOf("lookup", "north", 17): "w-1"})
+//	table.Apply(holders.Changes{holders.KeyOf("lookup", "north", 17): "w-1"})
 //	worker, ok := table.Holder(holders.KeyOf("lookup", "north", 17))
-//	follower.Merge(table.Since(follower.Epoch(), follower.Version()))
+//	follower.Merge(table.DeltaSince(follower.Epoch(), follower.Version()))
 package holders
 
 import (
@@ -28,18 +27,18 @@
 )
 
 const (
-	// MaxEntries bounds the keys of a table: 128 KB in memory. Where there are
-	// more, hashing spreads them evenly enough.
+	// MaxEntries bounds the keys of a table to 128 KB of memory. Keys beyond the bound are
+	// placed by hashing.
 	MaxEntries = 4096
-	// maxRemoved bounds the removals that are remembered for those who are
-	// behind. Beyond, they are told everything.
+	// maxRemoved bounds the removals that are kept for incremental deltas. Once it is
+	// exceeded, followers that are behind get a full delta.
 	maxRemoved = 1024
 )
 
 // Key is a hash of a service, a region of callers and an affinity key.
 type Key uint64
 
-// KeyOf returns the key for an affinity key's hash that callers of a region use.
+// KeyOf returns the key for the hash of an affinity key that callers of a region use.
 func KeyOf(service, region string, affinity uint64) Key {
 	h := affinity ^ xxhash.Sum64String(service) ^ xxhash.Sum64String(region)*0x9e3779b97f4a7c15
 	h ^= h >> 32
@@ -47,33 +46,32 @@
 	return Key(h ^ h>>32)
 }
 
-// Change is what is to be changed in a table: ids of workers by key. The id ""
-// removes a key.
+// Change maps keys to the IDs of the workers that get them. An empty ID removes a key.
 type Change map[Key]string
 
-// Delta brings a follower's table to a version.
+// Delta updates a follower's table to a version.
 type Delta struct {
 	Epoch uint64
-	// Full is set if the follower is to forget all it has.
+	// Full is set if Holders replaces all entries of the follower.
 	Full bool
 	// Since and At are the versions between which the delta is complete.
 	Since, At uint64
 	Holders   Change
 }
 
-// Table holds entries. It is safe for concurrent use.
+// Table maps keys to workers. It is safe for concurrent use.
 type Table struct {
-	mu      sync.Mutex // for writers
-	current atomic.Pointer[content]
+	mu      sync.Mutex // held by writers
+	current atomic.Pointer[snapshot]
 }
 
-// content is one state of a table. It is never changed once made.
-type content struct {
+// snapshot is the immutable state of a table.
+type snapshot struct {
 	epoch, version uint64
 	holders        map[Key]entry
-	removed        map[Key]uint64 // by version
-	// forgotten is the version up to which removals are not remembered.
-	forgotten uint64
+	removed        map[Key]uint64 // versions of the removals
+	// prunedVersion is the version up to which removals are not kept.
+	prunedVersion uint64
 }
 
 type entry struct {
@@ -84,12 +82,11 @@
 // NewTable returns an empty table.
 func NewTable() *Table {
 	t := &Table{}
-	t.current.Store(&content{})
+	t.current.Store(&snapshot{})
 	return t
 }
 
-// Epoch returns the number of the VM's term that decided the table, 0 for an
-// empty one.
+// Epoch returns the number of the deciding VM's term, 0 for an empty table.
 func (t *Table) Epoch() uint64 { return t.current.Load().epoch }
 
 // Version returns the number of the last change within the epoch.
@@ -104,7 +101,7 @@
 	return e.worker, ok
 }
 
-// Begin starts an epoch of this VM's own, with the entries as they are.
+// Begin starts a new epoch and keeps the entries.
 func (t *Table) Begin(epoch uint64) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -113,21 +110,21 @@
 	t.current.Store(&next)
 }
 
-// Change makes a new version, unless nothing changes. Keys beyond MaxEntries are
-// left out.
+// Change applies changes as a new version, unless there are none. New keys beyond
+// MaxEntries are ignored.
 func (t *Table) Change(c Change) {
 	if len(c) == 0 {
 		return
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	next := t.current.Load().copy()
+	next := t.current.Load().clone()
 	next.version++
 	next.apply(c, next.version)
 	t.current.Store(next)
 }
 
-func (c *content) copy() *content {
+func (c *snapshot) clone() *snapshot {
 	next := *c
 	next.holders = make(map[Key]entry, len(c.holders)+1)
 	maps.Copy(next.holders, c.holders)
@@ -136,9 +133,9 @@
 	return &next
 }
 
-// apply takes a change into a copy that nobody else has yet.
-func (c *content) apply(change Change, version uint64) {
-	for key, worker := range change {
+// apply applies changes to a snapshot that isn't published yet.
+func (c *snapshot) apply(changes Change, version uint64) {
+	for key, worker := range changes {
 		if worker == "" {
 			delete(c.holders, key)
 			c.removed[key] = version
@@ -151,19 +148,19 @@
 		delete(c.removed, key)
 	}
 	if len(c.removed) > maxRemoved {
-		c.removed, c.forgotten = make(map[Key]uint64), version
+		c.removed, c.prunedVersion = make(map[Key]uint64), version
 	}
 }
 
-// Since returns what a follower lacks that has a version of an epoch. It lacks
-// nothing if it has a newer version of the same one.
+// Since returns the delta for a follower at the given epoch and version. It is empty if the
+// follower has the same or a newer version of the same epoch.
 func (t *Table) Since(epoch, version uint64) Delta {
 	c := t.current.Load()
 	d := Delta{Epoch: c.epoch, Since: version, At: c.version, Holders: make(Change)}
 	if epoch == c.epoch && version >= c.version {
 		return d
 	}
-	d.Full = epoch != c.epoch || version < c.forgotten
+	d.Full = epoch != c.epoch || version < c.prunedVersion
 	if d.Full {
 		d.Since = 0
 	}
@@ -183,28 +180,27 @@
 	return d
 }
 
-// Merge takes in a delta. One that leaves a gap, or is older than what is held,
-// changes nothing.
+// Merge applies a delta. It ignores one that would leave a gap or is older than the table.
 func (t *Table) Merge(d Delta) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	current := t.current.Load()
 	switch {
 	case d.Epoch == 0:
-		return // The sender has none.
+		return // The sender has no table.
 	case !d.Full && (d.Epoch != current.epoch || d.Since > current.version || d.At <= current.version):
 		return
 	case d.Full && d.Epoch == current.epoch && d.At <= current.version:
 		return
 	}
-	next := &content{holders: make(map[Key]entry), removed: make(map[Key]uint64)}
+	next := &snapshot{holders: make(map[Key]entry), removed: make(map[Key]uint64)}
 	if !d.Full {
-		next = current.copy()
+		next = current.clone()
 	}
 	next.apply(d.Holders, d.At)
 	next.epoch, next.version = d.Epoch, d.At
 	if d.Full {
-		next.forgotten = d.At // What was removed before is not known here.
+		next.prunedVersion = d.At // A full delta lists no earlier removals.
 	}
 	t.current.Store(next)
 }
--- a/state/holders/holders_test.go
+++ b/state/holders/holders_test.go
@@ -12,14 +12,12 @@
 	"github.com/ryehill/ryehill/state/holders"
 )
 
-// A follower that is told now and then, of any part of the changes, in any epoch,
-// has the decider's table once it is told again; late and repeated deltas change
-// nothing.
+// Missed, repeated or late deltas must not keep followers from the decider's table.
 func TestFollowersConverge(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		decider, follower := holders.NewTable(), holders.NewTable()
 		decider.Begin(1)
-		var old []holders.Delta
+		var deltas []holders.Delta
 		steps := rapid.SliceOfN(rapid.IntRange(0, 9), 1, 60).Draw(t, "steps")
 		for i, step := range steps {
 			switch {
@@ -29,11 +27,11 @@
 				decider.Change(holders.Change{key: worker})
 			case step == 6:
 				decider.Begin(uint64(i + 2))
-			case step == 7 && len(old) > 0:
-				follower.Merge(rapid.SampledFrom(old).Draw(t, "late"))
+			case step == 7 && len(deltas) > 0:
+				follower.Merge(rapid.SampledFrom(deltas).Draw(t, "late"))
 			default:
 				d := decider.Since(follower.Epoch(), follower.Version())
-				old = append(old, d)
+				deltas = append(deltas, d)
 				follower.Merge(d)
 			}
 		}
@@ -48,9 +46,8 @@
 	})
 }
 
-// A table that has removed more keys than it remembers tells everything to those
-// who are behind.
-func TestForgottenRemovals(t *testing.T) {
+// A follower that is behind the kept removals would keep removed keys.
+func TestFullDeltaAfterPrunedRemovals(t *testing.T) {
 	decider, follower := holders.NewTable(), holders.NewTable()
 	decider.Begin(1)
 	const keys = 3000
@@ -73,7 +70,7 @@
 	}
 }
 
-// A table is bounded; what it does not take is placed by hashing.
+// A table without a bound would grow with the number of keys in use.
 func TestTableIsBounded(t *testing.T) {
 	table := holders.NewTable()
 	for i := range holders.MaxEntries + 100 {
@@ -84,7 +81,7 @@
 	}
 }
 
-// A change that a follower missed is not passed over.
+// A follower that merged a delta after a gap would miss changes for good.
 func TestGapsAreNotMerged(t *testing.T) {
 	decider, follower := holders.NewTable(), holders.NewTable()
 	decider.Begin(1)
@@ -94,19 +91,19 @@
 	decider.Change(holders.Change{2: "w2"})
 	follower.Merge(decider.Since(1, missed))
 	if _, ok := follower.Holder(2); ok {
-		t.Error("the follower took a change that leaves a gap")
+		t.Error("the follower merged a delta that leaves a gap")
 	}
 }
 
-// A follower that is ahead of the one it asks is told nothing, and not all again.
-func TestNewerFollowersAreToldNothing(t *testing.T) {
+// A follower that is ahead must not be sent the whole table again.
+func TestNewerFollowerGetsEmptyDelta(t *testing.T) {
 	decider, relay := holders.NewTable(), holders.NewTable()
 	decider.Begin(1)
 	decider.Change(holders.Change{1: "w1"})
 	relay.Merge(decider.Since(0, 0))
 	decider.Change(holders.Change{2: "w2"})
 	if d := relay.Since(decider.Epoch(), decider.Version()); d.Full || len(d.Holders) > 0 {
-		t.Errorf("told %d entries, full %v", len(d.Holders), d.Full)
+		t.Errorf("the delta has %d entries, full %v", len(d.Holders), d.Full)
 	}
 }
 
--- a/state/load/decay.go
+++ b/state/load/decay.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// decayFactor is what is left of a sum after some time.
+// decayFactor returns the fraction of a sum that remains after the elapsed time.
 func decayFactor(elapsed time.Duration) float64 {
-	return math.Exp(-elapsed.Seconds() / window.Seconds())
+	return math.Exp(-elapsed.Seconds() / averagingWindow.Seconds())
 }
--- a/state/load/halls.go
+++ b/state/load/halls.go
@@ -9,49 +9,49 @@
 	"time"
 )
 
-// HallMeters sums what one VM sends to the workers of each hall, in a Meter for
-// each. It is safe for concurrent use; each hall is under a lock of its own.
+// HallMeters measures what one VM sends to the workers of each hall, with one Meter per
+// hall. It is safe for concurrent use; each hall has a lock of its own.
 type HallMeters struct {
-	now func() time.Time
-	mu  sync.RWMutex
-	by  map[string]*Meter
+	now    func() time.Time
+	mu     sync.RWMutex
+	meters map[string]*Meter
 }
 
-// NewHallMeters returns meters of no hall yet.
+// NewHallMeters returns HallMeters without halls.
 func NewHallMeters(now func() time.Time) *HallMeters {
-	return &HallMeters{now: now, by: make(map[string]*Meter)}
+	return &HallMeters{now: now, meters: make(map[string]*Meter)}
 }
 
-// Of returns the meter of a hall.
+// Of returns the meter of a hall, and creates it if needed.
 func (h *HallMeters) Of(hall string) *Meter {
 	h.mu.RLock()
-	m, ok := h.by[hall]
+	m, ok := h.meters[hall]
 	h.mu.RUnlock()
 	if ok {
 		return m
 	}
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if m, ok = h.by[hall]; !ok {
+	if m, ok = h.meters[hall]; !ok {
 		m = NewMeter(h.now)
-		h.by[hall] = m
+		h.meters[hall] = m
 	}
 	return m
 }
 
-// Report is what one VM has to say of all halls.
+// Report is one VM's report on all halls.
 type Report struct {
-	// Generation is the one in force at the VM.
+	// Generation is the generation in force at the VM.
 	Generation uint64 `json:"generation"`
 	// Halls holds the sums by hall and service.
 	Halls map[string]map[string]ServiceStatus `json:"halls"`
 }
 
-// Report returns what this VM has to say, with the generation that is in force
-// here. Slots are for the reader to fill in.
+// Report returns this VM's report with the given generation. It leaves the slots for the
+// reader to fill in.
 func (h *HallMeters) Report(generation uint64) Report {
 	h.mu.RLock()
-	meters := maps.Clone(h.by)
+	meters := maps.Clone(h.meters)
 	h.mu.RUnlock()
 	report := Report{Generation: generation, Halls: make(map[string]map[string]ServiceStatus, len(meters))}
 	for hall, m := range meters {
@@ -67,14 +67,14 @@
 	return report
 }
 
-// Of returns the report's part on a hall, taken at a moment. A VM that sends
-// nothing to a hall still says what generation it is at.
+// Of returns the report's part on a hall, taken at a time. The part of a hall without
+// traffic still has the VM's generation.
 func (r Report) Of(hall string, at time.Time) HallStatus {
 	return HallStatus{Hall: hall, At: at.UnixMilli(), Generation: r.Generation, VMs: 1, Services: r.Halls[hall]}
 }
 
-// Join adds the report of another VM on the same hall. The sums are as old as
-// their oldest part, and the generation is the lowest.
+// Join adds another VM's status of the same hall. The result has the earliest time and the
+// lowest generation of both.
 func (h *HallStatus) Join(o HallStatus) {
 	if h.VMs == 0 {
 		h.At, h.Generation = o.At, o.Generation
--- a/state/load/halls_test.go
+++ b/state/load/halls_test.go
@@ -16,14 +16,14 @@
 func TestHallMeters(t *testing.T) {
 	Convey("Two VMs that send to two halls", t, func() {
 		clock := clockwork.NewFakeClock()
-		one, two := load.NewHallMeters(clock.Now), load.NewHallMeters(clock.Now)
-		one.Of("a").Begin("s")
+		meters1, meters2 := load.NewHallMeters(clock.Now), load.NewHallMeters(clock.Now)
+		meters1.Of("a").Begin("s")
 		clock.Advance(time.Second)
-		two.Of("a").Begin("s")
-		two.Of("a").Begin("s")
-		two.Of("b").Begin("s")
-		two.Of("b").End("s", load.Event{Refused: true})
-		first, second := one.Report(7), two.Report(5)
+		meters2.Of("a").Begin("s")
+		meters2.Of("a").Begin("s")
+		meters2.Of("b").Begin("s")
+		meters2.Of("b").End("s", load.Event{Refused: true})
+		first, second := meters1.Report(7), meters2.Report(5)
 		halls := make(map[string]load.HallStatus)
 		for _, hall := range []string{"a", "b", "c"} {
 			sum := load.HallStatus{Hall: hall}
@@ -37,12 +37,12 @@
 			So(halls["b"].Services["s"].InUse, ShouldEqual, 0)
 			So(halls["b"].Services["s"].Refused, ShouldBeGreaterThan, 0)
 		})
-		Convey("and each sum has the lowest generation, also of a hall that gets nothing", func() {
+		Convey("with the lowest generation, also for a hall without traffic", func() {
 			So(halls["a"].Generation, ShouldEqual, 5)
 			So(halls["c"].Generation, ShouldEqual, 5)
 			So(halls["c"].VMs, ShouldEqual, 2)
 		})
-		Convey("and the oldest part's time", func() {
+		Convey("with the earliest time", func() {
 			sum := load.HallStatus{}
 			sum.Join(first.Of("a", clock.Now()))
 			sum.Join(second.Of("a", clock.Now().Add(-time.Minute)))
--- a/state/load/load.go
+++ b/state/load/load.go
@@ -1,18 +1,20 @@
 // Copyright 2026 The ryehill Authors
 // SPDX-License-Identifier: Apache-2.0
 
-// Package load holds what halls report of themselves, each with its age.
+// Package load measures the load of services and reports it by VM and by hall.
 //
-// Every VM sums its own traffic in a Meter. The reporter of a hall collects the
-// sums of its VMs into a HallStatus, which the controller and the operators
-// read. A status is never taken as fresh without looking at its age: a stale
-// low load is not a low load.
+// Each VM measures its own traffic in a Meter. The reporter of a hall collects the sums of
+// its VMs into a HallStatus, which the controller and the operators read. Check the age of
+// a status before using it: an old status with a low load doesn't mean that the load is low
+// now.
 //
 // # Usage
 //
 //	meter := load.NewMeter(time.Now)
-//	meter.Count("lookup", load.Event{Moved: true})
-//	sums := meter.Sums()
+//	meter.Begin("lookup")
+//	meter.End("lookup", load.RequestResult{Moved: true})
+//	var status load.ServiceStatus
+//	meter.FillRates("lookup", &status)
 package load
 
 import (
@@ -22,11 +24,12 @@
 	"time"
 )
 
-// ServiceStatus sums one service over one VM or one hall.
+// ServiceStatus sums the load of one service over one VM or one hall.
 type ServiceStatus struct {
-	// Slots is the nominal number, Usable what may be used now, Free what is
-	// left of it; InUse counts requests in flight, Lent slots lent to other
-	// VMs and not in use, Waiting requests that wait for a slot.
+	// Slots is the nominal number of slots, Usable the number usable now, and Free the
+	// unused part of these. InUse is the number of requests in flight, Lent the number of
+	// slots lent to other VMs and not in use, and Waiting the number of requests that wait
+	// for a slot.
 	Slots   int `json:"slots"`
 	Usable  int `json:"usable"`
 	Free    int `json:"free"`
@@ -35,18 +38,18 @@
 	Waiting int `json:"waiting"`
 	// Busy is InUse averaged over the last few seconds.
 	Busy float64 `json:"busy"`
-	// Offered, Moved and Refused are requests per second: those that callers
-	// brought, those of them sent to another hall, those refused.
+	// Offered, Moved and Refused are rates in requests per second: those from callers,
+	// those of them sent to another hall, and those refused.
 	Offered float64 `json:"offered_per_second"`
 	Moved   float64 `json:"moved_per_second"`
 	Refused float64 `json:"refused_per_second"`
-	// Bytes are request and answer bytes per second of offered requests.
+	// Bytes is the rate of request and response bytes of offered requests, per second.
 	Bytes float64 `json:"bytes_per_second"`
-	// OldestReport is the age of the oldest worker's report.
+	// OldestReport is the age of the oldest worker report.
 	OldestReport time.Duration `json:"oldest_report_ns"`
 }
 
-// Add sums another status of the same service into s.
+// Add adds another status of the same service to s.
 func (s *ServiceStatus) Add(o ServiceStatus) {
 	s.Slots += o.Slots
 	s.Usable += o.Usable
@@ -62,21 +65,21 @@
 	s.OldestReport = max(s.OldestReport, o.OldestReport)
 }
 
-// VMStatus is what one VM reports.
+// VMStatus is one VM's report.
 type VMStatus struct {
 	VM         string                   `json:"vm"`
 	Generation uint64                   `json:"generation"`
 	Services   map[string]ServiceStatus `json:"services"`
-	// Links are bytes per second sent to each other hall.
+	// Links holds bytes per second by destination hall.
 	Links map[string]float64 `json:"links,omitempty"`
 }
 
-// HallStatus sums the VMs of a hall.
+// HallStatus sums the reports of a hall's VMs.
 type HallStatus struct {
 	Hall string `json:"hall"`
 	// At is the Unix time in milliseconds at which the sums were taken.
 	At int64 `json:"at"`
-	// Generation is the lowest in force at any VM that was asked.
+	// Generation is the lowest generation in force at a reporting VM.
 	Generation uint64                   `json:"generation"`
 	VMs        int                      `json:"vms"`
 	Missing    int                      `json:"missing_vms"`
@@ -84,11 +87,11 @@
 	Links      map[string]float64       `json:"links,omitempty"`
 }
 
-// Age returns how old the status is at a time.
+// Age returns the age of the status at the given time.
 func (h *HallStatus) Age(now time.Time) time.Duration { return now.Sub(time.UnixMilli(h.At)) }
 
-// Sum joins the reports of a hall's VMs. Missing counts VMs that are live but
-// did not answer.
+// Sum sums the reports of a hall's VMs. The parameter missing is the number of live VMs
+// that did not respond.
 func Sum(hall string, at time.Time, reports []VMStatus, missing int) HallStatus {
 	h := HallStatus{
 		Hall:     hall,
@@ -114,31 +117,31 @@
 	return h
 }
 
-// Event is one finished request.
+// Event describes how a request ended.
 type Event struct {
 	Moved   bool
 	Refused bool
 	Bytes   int64
 }
 
-// window is the time over which rates are averaged.
-const window = 3 * time.Second
+// averagingWindow is the time over which rates are averaged.
+const averagingWindow = 3 * time.Second
 
-// Meter sums events into rates. It is safe for concurrent use.
+// Meter computes the rates of requests by service. It is safe for concurrent use.
 type Meter struct {
-	now func() time.Time
-	mu  sync.Mutex
-	by  map[string]*counts
+	now      func() time.Time
+	mu       sync.Mutex
+	services map[string]*counts
 }
 
 type counts struct {
 	offered, moved, refused, bytes rate
 	busy                           rate
 	inFlight                       int
-	changed                        time.Time
+	updatedAt                      time.Time
 }
 
-// rate is an exponentially weighted sum over the window.
+// rate is an exponentially decaying sum.
 type rate struct {
 	value float64
 	last  time.Time
@@ -160,32 +163,32 @@
 
 func (r *rate) perSecond(now time.Time) float64 {
 	r.decay(now)
-	return r.value / window.Seconds()
+	return r.value / averagingWindow.Seconds()
 }
 
-// NewMeter returns an empty meter.
+// NewMeter returns an empty Meter.
 func NewMeter(now func() time.Time) *Meter {
-	return &Meter{now: now, by: make(map[string]*counts)}
+	return &Meter{now: now, services: make(map[string]*counts)}
 }
 
-// Begin counts a request that arrived.
+// Begin counts a request that has arrived.
 func (m *Meter) Begin(service string) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	c := m.of(service)
+	c := m.countsFor(service)
 	now := m.now()
 	c.offered.add(1, now)
-	c.hold(now)
+	c.accumulateBusy(now)
 	c.inFlight++
 }
 
-// End counts a request that Begin counted and that has ended.
+// End counts the end of a request that Begin counted.
 func (m *Meter) End(service string, e Event) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	c := m.of(service)
+	c := m.countsFor(service)
 	now := m.now()
-	c.hold(now)
+	c.accumulateBusy(now)
 	c.inFlight--
 	c.bytes.add(float64(e.Bytes), now)
 	if e.Moved {
@@ -196,46 +199,45 @@
 	}
 }
 
-// hold adds the time that the requests in flight took since the last change.
-func (c *counts) hold(now time.Time) {
-	if !c.changed.IsZero() {
-		c.busy.add(float64(c.inFlight)*now.Sub(c.changed).Seconds(), now)
+// accumulateBusy adds the time spent by the requests in flight since the last update.
+func (c *counts) accumulateBusy(now time.Time) {
+	if !c.updatedAt.IsZero() {
+		c.busy.add(float64(c.inFlight)*now.Sub(c.updatedAt).Seconds(), now)
 	}
-	c.changed = now
+	c.updatedAt = now
 }
 
-func (m *Meter) of(service string) *counts {
-	c, ok := m.by[service]
+func (m *Meter) countsFor(service string) *counts {
+	c, ok := m.services[service]
 	if !ok {
 		c = &counts{}
-		m.by[service] = c
+		m.services[service] = c
 	}
 	return c
 }
 
-// InFlight returns how many requests of a service have begun and not ended.
+// InFlight returns the number of requests of a service that have begun and not ended.
 func (m *Meter) InFlight(service string) int {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.of(service).inFlight
+	return m.countsFor(service).inFlight
 }
 
-// Services returns the names of the services that were counted, in no order.
+// Services returns the names of the services counted so far, in no particular order.
 func (m *Meter) Services() []string {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return slices.Collect(maps.Keys(m.by))
+	return slices.Collect(maps.Keys(m.services))
 }
 
-// Fill sets the rates of a service in a status. Busy is the number of the
-// service's requests, brought by this VM's callers, that were in flight on
-// average, wherever they ran.
+// Fill sets the rates of a service in s. Busy is the average number of requests in flight
+// that came from this VM's callers, wherever they ran.
 func (m *Meter) Fill(service string, s *ServiceStatus) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	c := m.of(service)
+	c := m.countsFor(service)
 	now := m.now()
-	c.hold(now)
+	c.accumulateBusy(now)
 	s.Offered = c.offered.perSecond(now)
 	s.Moved = c.moved.perSecond(now)
 	s.Refused = c.refused.perSecond(now)
--- a/state/route/route.go
+++ b/state/route/route.go
@@ -1,11 +1,10 @@
 // Copyright 2026 The ryehill Authors
 // SPDX-License-Identifier: Apache-2.0
 
-// Package route holds the routes of one version of the configuration and finds
-// the one of a request.
+// Package route holds the routes of one version of the configuration and finds the route of
+// a request.
 //
-// A Table is never changed once made, so that any number of goroutines may use
-// one while the next is built.
+// A Table is immutable: any number of goroutines may use one while the next is built.
 //
 // # Usage
 //
@@ -22,34 +21,34 @@
 	"github.com/ryehill/ryehill/state/workspace"
 )
 
-// Route says how requests of one host and path prefix are handled.
+// Route says how requests with a host and a path prefix are handled.
 type Route struct {
 	Name string
 	Host string
-	// Prefix begins the path of the requests. It begins and ends with a
-	// slash.
+	// Prefix is the path prefix. It begins and ends with a slash.
 	Prefix string
 	// Repeatable is set if a request may run more than once.
 	Repeatable bool
-	// Timeout is the longest that a request is held; 0 is no bound.
+	// Timeout bounds the time that a request may take; 0 means no bound.
 	Timeout time.Duration
-	// Objective is the time within which an answer is of full use.
+	// Objective is the response time up to which a response is fully useful.
 	Objective time.Duration
-	// Priority is the rank: 0 goes before 1.
+	// Priority is the rank of the requests; 0 is served before 1.
 	Priority int
-	// MaxAttempts bounds the workers that one request is sent to; at least 1.
+	// MaxAttempts bounds the workers that one request is sent to; it is at least 1.
 	MaxAttempts int
-	// Affinity is set if requests with one key are best kept together.
+	// Affinity is set if requests with the same key should go to the same worker.
 	Affinity bool
-	// Homes are the only regions in which requests may run; none is all.
+	// Homes are the only regions in which requests may run; an empty list allows all
+	// regions.
 	Homes []string
-	// Public is set if requests need no API key where others do.
+	// Public is set if requests need no API key even where other routes require one.
 	Public bool
 	// Targets are the services that share the requests by weight.
 	Targets []Target
 }
 
-// Target is a service and its weight.
+// Target is a service with its weight.
 type Target struct {
 	Service string
 	Weight  float64
@@ -60,15 +59,16 @@
 	return len(r.Homes) == 0 || slices.Contains(r.Homes, region)
 }
 
-// Service is a service that routes name.
+// Service holds the settings of a service that routes refer to.
 type Service struct {
 	Name       string
 	HealthPath string
-	// MaxConnections is what a worker accepts from all VMs together.
+	// MaxConnections is the number of connections that a worker accepts from all VMs
+	// together.
 	MaxConnections int
-	// ColdStart is how long a worker stays cold after its start.
+	// ColdStart is how long a worker counts as cold after its start.
 	ColdStart time.Duration
-	// ColdRate is how many requests a second a cold worker bears.
+	// ColdRate is the rate that a cold worker can handle, in requests per second.
 	ColdRate float64
 }
 
@@ -86,7 +86,7 @@
 	Routes   []Route
 	Services []Service
 	Limits   Limits
-	// Workspaces says whose requests are served. Nil serves everybody.
+	// Workspaces are the workspaces that are served. Nil serves all clients.
 	Workspaces *workspace.Directory
 }
 
@@ -96,12 +96,12 @@
 	limits   Limits
 	hosts    map[string]map[string]*Route // by host, then by prefix
 	services map[string]Service
-	// workspaces is nil if everybody is served.
+	// workspaces is nil if all clients are served.
 	workspaces *workspace.Directory
 }
 
-// NewTable returns a table. Of two routes with one host and prefix the first is
-// taken.
+// NewTable returns a table. Of several routes with the same host and prefix it uses the
+// first.
 func NewTable(cfg Config) *Table {
 	t := &Table{
 		version: cfg.Version, limits: cfg.Limits,
@@ -130,20 +130,20 @@
 // Version returns the version of the configuration.
 func (t *Table) Version() uint64 { return t.version }
 
-// Limits returns what clients may send.
+// Limits returns the limits on what clients may send.
 func (t *Table) Limits() Limits { return t.limits }
 
-// Workspaces returns whose requests are served; nil stands for everybody's.
+// Workspaces returns the workspaces that are served; nil means all clients.
 func (t *Table) Workspaces() *workspace.Directory { return t.workspaces }
 
-// Service returns a service by its name.
+// Service returns the service with a name.
 func (t *Table) Service(name string) (Service, bool) {
 	s, ok := t.services[name]
 	return s, ok
 }
 
-// Match returns the route of the host with the longest prefix of the path. The
-// host may have a port. The path is taken as it stands in the request.
+// Match returns the route of the host with the longest matching path prefix. The host may
+// include a port. The path is compared as it stands in the request, without decoding.
 func (t *Table) Match(host, path string) (*Route, bool) {
 	prefixes, ok := t.hosts[hostName(host)]
 	if !ok {
@@ -162,7 +162,7 @@
 	return nil, false
 }
 
-// HostRoutes returns the routes of a host, in no order.
+// HostRoutes returns the routes of a host, in no particular order.
 func (t *Table) HostRoutes(host string) []*Route {
 	prefixes := t.hosts[hostName(host)]
 	routes := make([]*Route, 0, len(prefixes))
--- a/state/route/route_test.go
+++ b/state/route/route_test.go
@@ -17,17 +17,17 @@
 		{Name: "other", Host: "help.example", Prefix: "/orders/"},
 	}})
 	cases := map[string]struct{ host, path, want string }{
-		"longest prefix":             {"shop.example", "/orders/open/7", "open"},
-		"shorter prefix":             {"shop.example", "/orders/7", "orders"},
-		"prefix itself":              {"shop.example", "/orders/", "orders"},
-		"no slash after the prefix":  {"shop.example", "/orders", "root"},
-		"prefix of a name is no one": {"shop.example", "/ordersopen/7", "root"},
-		"host with port and case":    {"SHOP.example:8080", "/orders/7", "orders"},
-		"other host":                 {"help.example", "/orders/open/7", "other"},
-		"no route of the host":       {"help.example", "/", ""},
-		"unknown host":               {"none.example", "/orders/7", ""},
-		"encoded slash is no slash":  {"help.example", "/orders%2f7", ""},
-		"not a path":                 {"shop.example", "*", ""},
+		"longest prefix":            {"shop.example", "/orders/open/7", "open"},
+		"shorter prefix":            {"shop.example", "/orders/7", "orders"},
+		"prefix itself":             {"shop.example", "/orders/", "orders"},
+		"no slash after the prefix": {"shop.example", "/orders", "root"},
+		"prefix inside a segment":   {"shop.example", "/ordersopen/7", "root"},
+		"host with port and case":   {"SHOP.example:8080", "/orders/7", "orders"},
+		"other host":                {"help.example", "/orders/open/7", "other"},
+		"no route of the host":      {"help.example", "/", ""},
+		"unknown host":              {"none.example", "/orders/7", ""},
+		"encoded slash":             {"help.example", "/orders%2f7", ""},
+		"not a path":                {"shop.example", "*", ""},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -37,7 +37,7 @@
 				got = r.Name
 			}
 			if got != c.want {
-				t.Errorf("%s%s is of route %q, want %q", c.host, c.path, got, c.want)
+				t.Errorf("%s%s matches route %q, want %q", c.host, c.path, got, c.want)
 			}
 		})
 	}
@@ -50,8 +50,8 @@
 		want   bool
 	}{
 		"no homes":  {nil, "north", true},
-		"a home":    {[]string{"north", "south"}, "south", true},
-		"no home":   {[]string{"north"}, "south", false},
+		"home":      {[]string{"north", "south"}, "south", true},
+		"other":     {[]string{"north"}, "south", false},
 		"no region": {[]string{"north"}, "", false},
 	}
 	for name, c := range cases {
--- a/state/workspace/workspace.go
+++ b/state/workspace/workspace.go
@@ -1,17 +1,16 @@
 // Copyright 2026 The ryehill Authors
 // SPDX-License-Identifier: Apache-2.0
 
-// Package workspace holds who the clients' requests belong to: which API key is
-// whose, how much each workspace may ask for, and where its requests may run.
+// Package workspace maps API keys to workspaces, and holds each workspace's rate limit and
+// the regions in which its requests may run.
 //
-// A Directory is made once from a configuration and never changed. It holds no
-// keys but their digests, so that none can end up in a log, a dump of memory
-// aside from the configuration itself, or an answer to an operator.
+// A Directory is immutable. It holds digests of the keys, not the keys, so that it can't
+// leak them to a log or to an operator.
 //
 // # Usage
 //
 //	directory, err := workspace.NewDirectory(workspaces)
-//	w, ok := directory.Find(workspace.DigestOf(key))
+//	w, ok := directory.FindByKey(workspace.DigestOf(key))
 package workspace
 
 import (
@@ -22,45 +21,47 @@
 	"github.com/cockroachdb/errors"
 )
 
-// ErrInvalid reports a list of workspaces that cannot be taken; its text names the
-// workspace and the fault, but no key.
+// ErrInvalid reports an invalid list of workspaces. Its text names the workspace and the
+// fault, but no key.
 var ErrInvalid = errors.New("workspace: invalid list")
 
-// digestSize is how many bytes of a SHA-256 tell keys apart: with 2^17 keys, two
-// have the same with a chance of 2^-95.
+// digestSize is the number of bytes of a SHA-256 that identify a key. Among 2^17 keys, a
+// collision has a probability of 2^-95.
 const digestSize = 16
 
-// shownDigest is how many bytes of a digest are shown to engineers: enough to tell
-// the keys of one question apart, too few to try keys against.
-const shownDigest = 3
+// displayedDigestSize is the number of digest bytes in String: enough to distinguish the
+// keys of one case, too few to test guessed keys against.
+const displayedDigestSize = 3
 
-// Digest stands for an API key. It is comparable, and safe to show as String does.
+// Digest identifies an API key. It is comparable, and its String may be displayed.
 type Digest [digestSize]byte
 
-// DigestOf returns the digest of a key. It takes 0.1 us for a key of 20 bytes.
+// DigestOf returns the digest of a key.
 func DigestOf(key string) Digest {
 	sum := sha256.Sum256([]byte(key))
 	return Digest(sum[:digestSize])
 }
 
 // String returns the start of the digest in hexadecimal.
-func (d Digest) String() string { return hex.EncodeToString(d[:shownDigest]) }
+func (d Digest) String() string { return hex.EncodeToString(d[:displayedDigestSize]) }
 
-// Config is a workspace as a configuration gives it.
+// Config is the configuration of a workspace.
 type Config struct {
 	Name string
-	// Keys are its API keys; none is a workspace that nobody can use now.
+	// Keys are its API keys. Without keys nobody can use the workspace.
 	Keys []string
-	// Priority is its rank, which goes before that of the route: 0 goes before 1.
+	// Priority is its rank, which takes precedence over that of the route; 0 is served
+	// before 1.
 	Priority int
-	// Rate is how many requests it may have run a second, at all VMs together; 0
-	// is no limit. Burst is how many more it may have run at once.
+	// Rate is the number of its requests that all VMs together may run per second; 0 means
+	// no limit. Burst is how many more may run at once.
 	Rate, Burst float64
-	// Homes are the only regions in which its requests may run; none is all.
+	// Homes are the only regions in which its requests may run; an empty list allows all
+	// regions.
 	Homes []string
 }
 
-// Workspace is a workspace of a Directory. It is never changed.
+// Workspace is an immutable entry of a Directory.
 type Workspace struct {
 	name     string
 	priority int
@@ -68,7 +69,8 @@
 	homes    []string
 }
 
-// Name returns its name, which workers are told. That of nil is "".
+// Name returns the workspace's name, which is also sent to workers. The name of a nil
+// workspace is empty.
 func (w *Workspace) Name() string {
 	if w == nil {
 		return ""
@@ -76,45 +78,44 @@
 	return w.name
 }
 
-// Priority returns its rank; 0 goes before 1.
+// Priority returns the rank; 0 is served before 1.
 func (w *Workspace) Priority() int { return w.priority }
 
-// Limit returns how much it may ask for.
+// Limit returns the rate limit.
 func (w *Workspace) Limit() Limit { return w.limit }
 
-// AllowsRegion reports whether its requests may run in a region.
+// AllowsRegion reports whether the workspace's requests may run in a region.
 func (w *Workspace) AllowsRegion(region string) bool {
 	return len(w.homes) == 0 || slices.Contains(w.homes, region)
 }
 
-// Limit bounds the requests of a workspace that all VMs together let run.
+// Limit bounds the rate of a workspace's requests at all VMs together.
 type Limit struct {
-	// Rate is in requests a second; 0 is no limit.
+	// Rate is in requests per second; 0 means no limit.
 	Rate float64
-	// Burst is how many requests may run beyond the rate after a quiet time.
+	// Burst is the number of requests that may exceed the rate after an idle time.
 	Burst float64
 }
 
 // None reports whether there is no limit.
 func (l Limit) None() bool { return l.Rate <= 0 }
 
-// Directory finds workspaces by their keys. It is safe for concurrent use.
+// Directory finds workspaces by key or name. It is safe for concurrent use.
 type Directory struct {
 	byKey  map[Digest]*Workspace
 	byName map[string]*Workspace
 }
 
-// NewDirectory makes a directory, or returns ErrInvalid: for a workspace without a
-// name or with that of another, a key of two workspaces, an empty key, or a number
-// below 0.
+// NewDirectory returns a directory of the workspaces. It returns ErrInvalid for an empty or
+// duplicate name, a key of two workspaces, an empty key, or a negative number.
 func NewDirectory(list []Config) (*Directory, error) {
 	d := &Directory{byKey: make(map[Digest]*Workspace), byName: make(map[string]*Workspace, len(list))}
 	for _, c := range list {
-		if err := c.check(); err != nil {
+		if err := c.validate(); err != nil {
 			return nil, err
 		}
 		if _, taken := d.byName[c.Name]; taken {
-			return nil, errors.Wrapf(ErrInvalid, "two workspaces %q", c.Name)
+			return nil, errors.Wrapf(ErrInvalid, "workspace %q is defined more than once", c.Name)
 		}
 		if err := d.add(c); err != nil {
 			return nil, err
@@ -123,14 +124,14 @@
 	return d, nil
 }
 
-func (c Config) check() error {
+func (c Config) validate() error {
 	switch {
 	case c.Name == "":
-		return errors.Wrap(ErrInvalid, "a workspace without a name")
+		return errors.Wrap(ErrInvalid, "workspace without a name")
 	case c.Rate < 0, c.Burst < 0, c.Priority < 0:
-		return errors.Wrapf(ErrInvalid, "workspace %q: a number below 0", c.Name)
+		return errors.Wrapf(ErrInvalid, "workspace %q: rate, burst and priority must not be negative", c.Name)
 	case slices.Contains(c.Keys, ""):
-		return errors.Wrapf(ErrInvalid, "workspace %q: an empty key", c.Name)
+		return errors.Wrapf(ErrInvalid, "workspace %q: empty API key", c.Name)
 	}
 	return nil
 }
@@ -141,14 +142,14 @@
 	for _, key := range c.Keys {
 		digest := DigestOf(key)
 		if other, taken := d.byKey[digest]; taken && other != w {
-			return errors.Wrapf(ErrInvalid, "key %s is of workspace %q and of %q", digest, other.name, w.name)
+			return errors.Wrapf(ErrInvalid, "API key %s belongs to both workspace %q and workspace %q", digest, other.name, w.name)
 		}
 		d.byKey[digest] = w
 	}
 	return nil
 }
 
-// Find returns the workspace that holds a key. A nil directory has none.
+// Find returns the workspace that has a key. A nil directory has no workspaces.
 func (d *Directory) Find(key Digest) (*Workspace, bool) {
 	if d == nil {
 		return nil, false
@@ -157,7 +158,7 @@
 	return w, ok
 }
 
-// Named returns the workspace with a name. A nil directory has none.
+// Named returns the workspace with a name. A nil directory has no workspaces.
 func (d *Directory) Named(name string) (*Workspace, bool) {
 	if d == nil {
 		return nil, false
@@ -166,29 +167,29 @@
 	return w, ok
 }
 
-// Bound returns the part of all requests, from 0 to 1, that homes are expected to bind
-// to each region, those of workspaces with several homes in equal parts: limits stand for
-// what workspaces ask for. A nil directory binds none.
+// Bound returns, by region, the fraction of all requests that must run there because of
+// home regions, estimated from the rate limits. A workspace with several homes counts for
+// each in equal parts. A nil directory returns an empty map.
 func (d *Directory) Bound() map[string]float64 {
-	bound := make(map[string]float64)
+	shares := make(map[string]float64)
 	if d == nil {
-		return bound
+		return shares
 	}
-	all := 0.0
+	totalRate := 0.0
 	for _, w := range d.byName {
-		all += w.limit.Rate
+		totalRate += w.limit.Rate
 	}
 	for _, w := range d.byName {
 		for _, home := range w.homes {
 			if w.limit.Rate > 0 {
-				bound[home] += w.limit.Rate / all / float64(len(w.homes))
+				shares[home] += w.limit.Rate / totalRate / float64(len(w.homes))
 			}
 		}
 	}
-	return bound
+	return shares
 }
 
-// Len returns how many workspaces there are. A nil directory has none.
+// Len returns the number of workspaces. A nil directory has none.
 func (d *Directory) Len() int {
 	if d == nil {
 		return 0
--- a/state/workspace/workspace_test.go
+++ b/state/workspace/workspace_test.go
@@ -25,7 +25,7 @@
 	for key, want := range map[string]string{"k1": "schools", "k2": "schools", "k3": "parents", "k4": "", "": ""} {
 		w, ok := d.Find(workspace.DigestOf(key))
 		if w.Name() != want || ok != (want != "") {
-			t.Errorf("%q is of %q, want %q", key, w.Name(), want)
+			t.Errorf("key %q finds workspace %q, want %q", key, w.Name(), want)
 		}
 	}
 	w, _ := d.Find(workspace.DigestOf("k1"))
@@ -33,22 +33,22 @@
 		t.Errorf("got %+v", w)
 	}
 	if _, ok := (*workspace.Directory)(nil).Find(workspace.DigestOf("k1")); ok {
-		t.Error("no directory holds a key")
+		t.Error("a nil directory finds a key")
 	}
 }
 
-// A list with any fault is refused whole, and what is said of it shows no key.
+// An invalid list must be rejected as a whole, with an error that shows no key.
 func TestInvalidListsAreRefused(t *testing.T) {
 	const key = "secretsecretsecret"
 	cases := map[string][]workspace.Config{
-		"no name":                   {{Keys: []string{key}}},
-		"a name twice":              {{Name: "a"}, {Name: "a"}},
-		"a key of two workspaces":   {{Name: "a", Keys: []string{"x", key}}, {Name: "b", Keys: []string{key}}},
-		"an empty key":              {{Name: "a", Keys: []string{key, ""}}},
-		"a rate below 0":            {{Name: "a", Rate: -1}},
-		"a burst below 0":           {{Name: "a", Burst: -1}},
-		"a priority below 0":        {{Name: "a", Priority: -1}},
-		"the last of many at fault": {{Name: "a"}, {Name: "b"}, {Name: "c", Rate: -0.5}},
+		"empty name":               {{Keys: []string{key}}},
+		"duplicate name":           {{Name: "a"}, {Name: "a"}},
+		"key of two workspaces":    {{Name: "a", Keys: []string{"x", key}}, {Name: "b", Keys: []string{key}}},
+		"empty key":                {{Name: "a", Keys: []string{key, ""}}},
+		"negative rate":            {{Name: "a", Rate: -1}},
+		"negative burst":           {{Name: "a", Burst: -1}},
+		"negative priority":        {{Name: "a", Priority: -1}},
+		"only the last is invalid": {{Name: "a"}, {Name: "b"}, {Name: "c", Rate: -0.5}},
 	}
 	for name, list := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -63,8 +63,8 @@
 	}
 }
 
-// many returns 50,000 workspaces with a key each.
-func many() []workspace.Config {
+// manyConfigs returns 50,000 workspaces with one key each.
+func manyConfigs() []workspace.Config {
 	list := make([]workspace.Config, 50_000)
 	for i := range list {
 		list[i] = workspace.Config{Name: fmt.Sprint("w", i), Keys: []string{fmt.Sprint("key-of-some-length-", i)}}
@@ -72,9 +72,9 @@
 	return list
 }
 
-// BenchmarkNewDirectory makes a directory of 50,000 workspaces.
+// BenchmarkNewDirectory builds a directory of 50,000 workspaces.
 func BenchmarkNewDirectory(b *testing.B) {
-	list := many()
+	list := manyConfigs()
 	b.ReportAllocs()
 	for b.Loop() {
 		if _, err := workspace.NewDirectory(list); err != nil {
@@ -83,22 +83,22 @@
 	}
 }
 
-// BenchmarkFind looks keys of 50,000 workspaces up.
+// BenchmarkFind looks up keys among 50,000 workspaces.
 func BenchmarkFind(b *testing.B) {
-	list := many()
+	list := manyConfigs()
 	d, err := workspace.NewDirectory(list)
 	if err != nil {
 		b.Fatal(err)
 	}
 	for i := 0; b.Loop(); i++ {
 		if _, ok := d.Find(workspace.DigestOf(list[i%len(list)].Keys[0])); !ok {
-			b.Fatal("not found")
+			b.Fatal("key not found")
 		}
 	}
 }
 
-// Limits stand for what workspaces ask for.
-func TestBound(t *testing.T) {
+// A wrong share would misestimate the load that is tied to a region.
+func TestHomeShares(t *testing.T) {
 	d, err := workspace.NewDirectory([]workspace.Config{
 		{Name: "a", Rate: 60},
 		{Name: "b", Rate: 10, Homes: []string{"north"}},
@@ -108,10 +108,10 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if bound := d.Bound(); len(bound) != 2 || bound["north"] != 0.25 || bound["south"] != 0.15 {
-		t.Errorf("got %v", bound)
+	if shares := d.Bound(); len(shares) != 2 || shares["north"] != 0.25 || shares["south"] != 0.15 {
+		t.Errorf("got %v", shares)
 	}
-	if bound := (*workspace.Directory)(nil).Bound(); len(bound) != 0 {
-		t.Errorf("got %v for nobody", bound)
+	if shares := (*workspace.Directory)(nil).Bound(); len(shares) != 0 {
+		t.Errorf("got %v for a nil directory", shares)
 	}
 }
