--- a/scripts/switch-off.sh
+++ b/scripts/switch-off.sh
@@ -175,7 +175,7 @@
 off limit-one-issuer internal/gateway/permits.go '!found || vm != p.gateway.cfg.VM {' '!found || vm == "" {' ./internal/gateway TestOnlyTheIssuerHandsOut
 off limit-isolated coordination/ratelimit/issuer.go 'if 2*d.Live < d.Listed {' 'if false {' ./coordination/ratelimit TestIssuersStayWithinTheLimit
 off limit-told internal/gateway/signals.go 'message := toldLimit(now, signals.RateLimit)' 'message := &peerpb.WorkerSignals{}' ./platform 'TestSessions/limits'
-off limit-tighter-first state/worker/ratelimit.go 'case held.Named() && r.PerS > held.PerS && !r.certain().After(held.Heard):' 'case false:' ./state/worker TestOvertakenLimits
+off limit-tighter-first state/worker/ratelimit.go 'case previous.Named() && r.PerS > previous.PerS && !r.earliestCreation().After(previous.Heard):' 'case false:' ./state/worker TestOutOfOrderRateLimits
 off limit-success-ends transport/ingress/signals.go 'case limit.Named() || status < http.StatusMultipleChoices:' 'default:' ./transport/ingress TestLimitsAreHeard
 off limit-spills-over coordination/placement/placement.go 'if refusal == RefusalLimited {' 'if false {' ./coordination/placement TestLimitsBind
 off limit-urgent-first coordination/ratelimit/issuer.go 'reserve := rankReserve * float64(' 'reserve := 0 * float64(' ./coordination/ratelimit TestIssuerServesUrgent
@@ -183,12 +183,12 @@
 off lapsed-tells-of-no-end coordination/placement/placement.go 'if !w.Confirmed.IsZero() {' 'if false {' ./internal/gateway TestLapsedEntryTells
 off ends-heeded-at-once state/worker/loads.go 'return confirmed.Before(started) ||' 'return' ./internal/gateway TestWorkerThatReturnsAs
 off ended-told internal/gateway/signals.go 'signals.Ended; silent &&' 'signals.Ended; false && silent &&' ./internal/gateway TestVMsTellEachOtherWhoHasEnded
-off word-outlives-entry state/worker/signal.go 'now.Sub(s.leaving.Heard) < leavingKept)' 'false)' ./state/worker TestWordOutlives
-off earliest-word-binds state/worker/signal.go 'first || s.Until.Before(l.signals.leaving.Until)' 'true' ./state/worker TestEarliestWord
-off rest-to-its-end state/worker/signal.go 'end.After(s.restEnd) {' 'true || end.After(s.restEnd) {' ./state/worker TestEachRest
-off return-ramp state/worker/signal.go 's.allowance = 1' 's.allowance = 0' ./state/worker TestReturnAfterARest
-off cold-from-return state/worker/loads.go 'if l.returned.After(started) {' 'if false {' ./state/worker TestPortThatWasClosed
-off ends-outlived state/worker/loads.go 'if l.ended.IsZero() || !s.holds(l.ended) {' 'if true {' ./state/worker TestEndThatAWorker
+off word-outlives-entry state/worker/signal.go 'now.Sub(s.leaving.Heard) < leavingRetention)' 'false)' ./state/worker TestLeavingOutlives
+off earliest-word-binds state/worker/signal.go 'first || s.Until.Before(l.signals.leaving.Until)' 'true' ./state/worker TestEarliestLeaving
+off rest-to-its-end state/worker/signal.go 'end.After(s.restEnd) {' 'true || end.After(s.restEnd) {' ./state/worker TestRestIsNotShortened
+off return-ramp state/worker/signal.go 's.allowance = 1' 's.allowance = 0' ./state/worker TestRampAfterRest
+off cold-from-return state/worker/loads.go 'if l.respondedAt.After(started) {' 'if false {' ./state/worker TestColdAfterClosedPort
+off ends-outlived state/worker/loads.go 'if l.exitedAt.IsZero() || !s.contains(l.exitedAt) {' 'if true {' ./state/worker TestOutlivedExit
 off rest-moves-few coordination/placement/placement.go 'if r.displaced {' 'if false && r.displaced {' ./internal/experiment TestRestsKept
 off rest-keeps-regions coordination/placement/placement.go 'p.destination(s, r, workers.all())' 'p.destination(s, r, workers.awake)' ./coordination/placement TestRestMovesOnly
 off clock-sleeps internal/clock/clock.go 's.slept = slept' '' ./internal/clock TestSuspensionsCount
--- a/state/worker/life_test.go
+++ b/state/worker/life_test.go
@@ -13,74 +13,73 @@
 	"github.com/ryehill/ryehill/state/worker"
 )
 
-func TestLives(t *testing.T) {
-	Convey("Lives of a worker have names of their own", t, func() {
-		first, second, untold := worker.Worker{ID: "w", Start: 1}, worker.Worker{ID: "w", Start: 2}, worker.Worker{ID: "w"}
+func TestIncarnations(t *testing.T) {
+	Convey("Successive processes of a worker have different incarnation IDs", t, func() {
+		first, second, unknown := worker.Worker{ID: "w", Start: 1}, worker.Worker{ID: "w", Start: 2}, worker.Worker{ID: "w"}
 		So(first.Life(), ShouldNotEqual, second.Life())
-		So(untold.Life(), ShouldEqual, "w")
-		Convey("and one of them is there", func() {
+		So(unknown.Life(), ShouldEqual, "w")
+		Convey("and a set has only the current one", func() {
 			set := worker.NewSet([]worker.Worker{second})
 			So(set.Living(second.Life()), ShouldBeTrue)
 			So(set.Living(first.Life()), ShouldBeFalse)
 			So(set.Living("w"), ShouldBeFalse)
-			So(worker.NewSet([]worker.Worker{untold}).Living("w"), ShouldBeTrue)
+			So(worker.NewSet([]worker.Worker{unknown}).Living("w"), ShouldBeTrue)
 		})
 	})
 }
 
-// A worker whose port was closed may have started again, with an entry that is still
-// the one of before: it is taken as cold until there is time for news of it.
-func TestPortThatWasClosed(t *testing.T) {
-	const coldStart, played = 8 * time.Second, 12 * time.Second
+// A worker that restarts behind a stale store entry must not count as warm.
+func TestColdAfterClosedPort(t *testing.T) {
+	const coldStart, observed = 8 * time.Second, 12 * time.Second
 	cases := map[string]struct {
-		happens func(l *worker.Load)
-		// news is whether the store goes on to confirm what is known of workers.
-		news bool
-		// cold is for how long the worker is taken as cold, and from is when that begins.
-		from, cold time.Duration
-		// answers is when a VM first has an answer again, 0 if none has.
-		answers time.Duration
-		// age is how old what is known of workers is as it happens.
-		age time.Duration
+		event func(l *worker.Load)
+		// storeConfirms is set if the store keeps confirming its data.
+		storeConfirms bool
+		// The worker counts as cold from coldFrom on for coldFor.
+		coldFrom, coldFor time.Duration
+		// respondsAt is the time of the first response from a VM, 0 for none.
+		respondsAt time.Duration
+		// confirmationAge is the age of the store's data at the event.
+		confirmationAge time.Duration
 	}{
-		"closed":                         {(*worker.Load).Refused, true, 0, 3 * time.Second, 0, 0},
-		"closed, the store silent":       {(*worker.Load).Refused, false, 0, played, 0, 0},
-		"the same, back after 2 s":       {(*worker.Load).Refused, false, 0, coldStart + 2*time.Second, 2 * time.Second, 0},
-		"connections ended":              {(*worker.Load).Ended, true, 0, 0, 0, 0},
-		"connections ended, no store":    {(*worker.Load).Ended, false, 2500 * time.Millisecond, played, 0, 0},
-		"the same, back after 1 s":       {(*worker.Load).Ended, false, time.Second, coldStart, time.Second, 0},
-		"ended, no store for 0.3 s":      {(*worker.Load).Ended, false, 0, played, 0, 300 * time.Millisecond},
-		"the same, back after 0.5 s":     {(*worker.Load).Ended, false, 0, coldStart + 500*time.Millisecond, 500 * time.Millisecond, 300 * time.Millisecond},
-		"ended, the store is calm":       {(*worker.Load).Ended, true, 0, 0, 0, 300 * time.Millisecond},
-		"hung up, no store for 0.3 s":    {(*worker.Load).HungUp, false, 2 * time.Second, played, 0, 300 * time.Millisecond},
-		"hung up, the store is calm":     {(*worker.Load).HungUp, true, 0, 0, 0, 300 * time.Millisecond},
-		"hung up, then all ended":        {func(l *worker.Load) { l.HungUp(); l.Ended() }, false, 0, played, 0, 300 * time.Millisecond},
-		"nothing, though without store":  {func(*worker.Load) {}, false, 0, 0, 0, 0},
-		"closed, then connections ended": {func(l *worker.Load) { l.Refused(); l.Ended() }, true, 0, 3 * time.Second, 0, 0},
+		"refused":                        {(*worker.Load).Refused, true, 0, 3 * time.Second, 0, 0},
+		"refused, store silent":          {(*worker.Load).Refused, false, 0, observed, 0, 0},
+		"refused, response after 2 s":    {(*worker.Load).Refused, false, 0, coldStart + 2*time.Second, 2 * time.Second, 0},
+		"closed":                         {(*worker.Load).Ended, true, 0, 0, 0, 0},
+		"closed, store silent":           {(*worker.Load).Ended, false, 2500 * time.Millisecond, observed, 0, 0},
+		"closed, response after 1 s":     {(*worker.Load).Ended, false, time.Second, coldStart, time.Second, 0},
+		"closed, store silent for 0.3 s": {(*worker.Load).Ended, false, 0, observed, 0, 300 * time.Millisecond},
+		"closed, response after 0.5 s":   {(*worker.Load).Ended, false, 0, coldStart + 500*time.Millisecond, 500 * time.Millisecond, 300 * time.Millisecond},
+		"closed, store confirms":         {(*worker.Load).Ended, true, 0, 0, 0, 300 * time.Millisecond},
+		"one closed, store silent":       {(*worker.Load).HungUp, false, 2 * time.Second, observed, 0, 300 * time.Millisecond},
+		"one closed, store confirms":     {(*worker.Load).HungUp, true, 0, 0, 0, 300 * time.Millisecond},
+		"one closed, then all":           {func(l *worker.Load) { l.HungUp(); l.Ended() }, false, 0, observed, 0, 300 * time.Millisecond},
+		"no event, store silent":         {func(*worker.Load) {}, false, 0, 0, 0, 0},
+		"refused, then closed":           {func(l *worker.Load) { l.Refused(); l.Ended() }, true, 0, 3 * time.Second, 0, 0},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
 			const step = 500 * time.Millisecond
 			clock := clockwork.NewFakeClock()
 			loads := worker.NewLoads(clock.Now)
-			l, begun := loads.Of("w"), clock.Now()
+			l, start := loads.Of("w"), clock.Now()
 			l.Failed()
-			c.happens(l)
-			for at := time.Duration(0); at < played; at += step {
-				if c.answers > 0 && at >= c.answers {
+			c.event(l)
+			for at := time.Duration(0); at < observed; at += step {
+				if c.respondsAt > 0 && at >= c.respondsAt {
 					l.Answered()
 				}
 				loads.Keep(func(string) bool { return true })
-				confirmed := begun.Add(-c.age)
-				if c.news {
+				confirmed := start.Add(-c.confirmationAge)
+				if c.storeConfirms {
 					confirmed = clock.Now()
 				}
-				want := at >= c.from && at < c.from+c.cold
+				want := at >= c.coldFrom && at < c.coldFrom+c.coldFor
 				if _, kept := loads.Limited()["w"]; want && !kept {
-					t.Fatalf("forgotten after %s", at)
+					t.Fatalf("the load was pruned after %s", at)
 				}
 				if l.MayBeCold(confirmed, coldStart) != want {
-					t.Fatalf("after %s taken as cold: %t", at, !want)
+					t.Fatalf("after %s MayBeCold is %t", at, !want)
 				}
 				clock.Advance(step)
 			}
--- a/state/worker/limits.go
+++ b/state/worker/limits.go
@@ -9,57 +9,58 @@
 	"sync/atomic"
 )
 
-// limits holds the workers that have a standing of their own, or had one lately, so that the
-// choice among a thousand workers need not ask each of them. Readers take an
-// immutable map and no lock.
-type limits struct {
-	mu sync.Mutex // for writers
-	// added counts the calls of add.
-	added   int
-	current atomic.Pointer[map[string]*Load]
+// constrainedLoads holds the workers that may not be fully available, so that selecting
+// among many workers needs no lock for each of them. Readers get an immutable map and take
+// no lock.
+type constrainedLoads struct {
+	mu sync.Mutex // held by writers
+	// additions counts the calls of add.
+	additions int
+	current   atomic.Pointer[map[string]*Load]
 }
 
-// add notes a load, under whose lock the caller is.
-func (l *limits) add(load *Load) {
+// add includes a load. The caller holds the load's lock.
+func (l *constrainedLoads) add(load *Load) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.added++
-	held := l.all()
-	if held[load.id] == load {
+	l.additions++
+	current := l.snapshot()
+	if current[load.id] == load {
 		return
 	}
-	next := make(map[string]*Load, len(held)+1)
-	maps.Copy(next, held)
+	next := make(map[string]*Load, len(current)+1)
+	maps.Copy(next, current)
 	next[load.id] = load
 	l.current.Store(&next)
 }
 
-// keep forgets the loads that the function does not want kept, unless one is added
-// meanwhile: then it leaves that to the next call.
-func (l *limits) keep(wanted func(*Load) bool) {
+// prune removes the loads for which wanted returns false. If a load is added concurrently,
+// it removes nothing and leaves that to the next call.
+func (l *constrainedLoads) prune(wanted func(*Load) bool) {
 	l.mu.Lock()
-	added, held := l.added, l.all()
+	additions, current := l.additions, l.snapshot()
 	l.mu.Unlock()
 	next := make(map[string]*Load)
-	for id, load := range held { // Not under the lock: a load that is added holds its own.
+	for id, load := range current { // Without the lock, since add is called under the lock of a load.
 		if wanted(load) {
 			next[id] = load
 		}
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.added == added && len(next) < len(held) {
+	if l.additions == additions && len(next) < len(current) {
 		l.current.Store(&next)
 	}
 }
 
-func (l *limits) all() map[string]*Load {
-	if held := l.current.Load(); held != nil {
-		return *held
+func (l *constrainedLoads) snapshot() map[string]*Load {
+	if loads := l.current.Load(); loads != nil {
+		return *loads
 	}
 	return nil
 }
 
-// Limited returns, by life, the workers that may have a standing of their own; all others are
-// neither. The map must not be changed.
-func (l *Loads) Limited() map[string]*Load { return l.limits.all() }
+// Limited returns the workers that may not be fully available, by incarnation ID. Workers
+// that are missing in it have no restriction but those of the store. The map must not be
+// modified.
+func (l *Loads) Limited() map[string]*Load { return l.constrained.snapshot() }
--- a/state/worker/loads.go
+++ b/state/worker/loads.go
@@ -13,24 +13,23 @@
 
 const (
 	shardCount = 16
-	// reportFades is after how long a worker's own word on its load counts
-	// for nothing. VMs of a region hear of each other's words within about
-	// 0.7 s (two questions for news), so that some of it is left then.
-	reportFades = 2 * time.Second
-	// firstPause and longestPause bound how long a worker that failed gets
-	// nothing; the pause doubles with each failure in a row.
-	firstPause   = 500 * time.Millisecond
-	longestPause = 4 * time.Second
+	// reportTTL is the age at which a load report stops counting. VMs of a region poll each
+	// other often enough to receive a report well before that.
+	reportTTL = 2 * time.Second
+	// minPause and maxPause bound how long a worker gets no requests after a failure. The
+	// pause doubles with each consecutive failure.
+	minPause = 500 * time.Millisecond
+	maxPause = 4 * time.Second
 )
 
-// Loads holds a Load for each worker. It is safe for concurrent use; workers
-// are in shards, each under a lock of its own.
+// Loads holds a Load for each worker. It is safe for concurrent use; each shard has a lock
+// of its own.
 type Loads struct {
-	now    func() time.Time
-	heard  atomic.Uint64 // numbers the words in the order in which they came
-	shards [shardCount]shard
+	now           func() time.Time
+	lastReportSeq atomic.Uint64 // of the last load report
+	shards        [shardCount]shard
 
-	limits limits
+	constrained constrainedLoads
 }
 
 type shard struct {
@@ -38,7 +37,7 @@
 	loads map[string]*Load
 }
 
-// NewLoads returns loads of no worker yet.
+// NewLoads returns an empty Loads.
 func NewLoads(now func() time.Time) *Loads {
 	l := &Loads{now: now}
 	for i := range l.shards {
@@ -47,20 +46,20 @@
 	return l
 }
 
-// Of returns the load of a worker.
+// Of returns the load of a worker by its incarnation ID, and creates it if needed.
 func (l *Loads) Of(id string) *Load {
 	s := &l.shards[xxhash.Sum64String(id)%shardCount]
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	load, ok := s.loads[id]
 	if !ok {
-		load = &Load{id: id, now: l.now, numbers: &l.heard, limits: &l.limits}
+		load = &Load{id: id, now: l.now, lastReportSeq: &l.lastReportSeq, constrained: &l.constrained}
 		s.loads[id] = load
 	}
 	return load
 }
 
-// Known returns the load of a worker that this VM has dealt with.
+// Known returns the load of a worker by its incarnation ID, if there is one.
 func (l *Loads) Known(id string) (*Load, bool) {
 	s := &l.shards[xxhash.Sum64String(id)%shardCount]
 	s.mu.Lock()
@@ -69,27 +68,27 @@
 	return load, ok
 }
 
-// signalsHeld reports whether what the worker has said of itself still matters; living is
-// whether it has an entry.
-func (l *Load) signalsHeld(living bool) bool {
+// signalsRelevant reports whether the worker's signals still matter. hasEntry is whether
+// the store has an entry of the worker.
+func (l *Load) signalsRelevant(hasEntry bool) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.signals.held(living, l.now())
+	return l.signals.relevant(hasEntry, l.now())
 }
 
-// Keep forgets the idle workers that the function does not want kept, but for those
-// whose own words still hold.
+// Keep removes the loads for which wanted returns false. It keeps those with requests in
+// flight and those whose signals still matter.
 func (l *Loads) Keep(wanted func(id string) bool) {
-	l.limits.keep(func(load *Load) bool {
-		living := wanted(load.id)
-		return load.signalsHeld(living) || living && (load.Paused() || load.Spared() || load.endedLately())
+	l.constrained.prune(func(load *Load) bool {
+		hasEntry := wanted(load.id)
+		return load.signalsRelevant(hasEntry) || hasEntry && (load.Paused() || load.Spared() || load.exitedRecently())
 	})
-	limited := l.Limited()
+	constrained := l.Limited()
 	for i := range l.shards {
 		s := &l.shards[i]
 		s.mu.Lock()
 		for id, load := range s.loads {
-			if !wanted(id) && load.Own() == 0 && limited[id] != load {
+			if !wanted(id) && load.Own() == 0 && constrained[id] != load {
 				delete(s.loads, id)
 			}
 		}
@@ -97,239 +96,240 @@
 	}
 }
 
-// Load is what this VM knows of how busy one worker is. It is safe for
+// Load is what this VM knows of the load and availability of one worker. It is safe for
 // concurrent use.
 type Load struct {
-	id      string
-	now     func() time.Time
-	numbers *atomic.Uint64
-	limits  *limits
-
-	mu       sync.Mutex
-	own      int // requests of this VM under way
-	others   int // requests of others, as the worker last told
-	told     time.Time
-	total    int  // requests of all, as the worker told
-	fresh    bool // set if the worker told this VM since the last TakeWords
-	number   uint64
-	failures int // in a row
-	pausedTo time.Time
-	outcomes outcomes
-	sparedTo time.Time
-	refused  time.Time // when its port was last found closed
-	ended    time.Time // when its process last seemed to have ended
-	returned time.Time // when a VM first had an answer after that
-	earlier  end       // the end before that, for the case that there was none
-	doubtful bool      // set if the end rests on one connection
-	proved   Span
-	lived    Span // in which the process is known not to have ended, though it seemed to
-	signals  signals
+	id            string
+	now           func() time.Time
+	lastReportSeq *atomic.Uint64
+	constrained   *constrainedLoads
+
+	mu             sync.Mutex
+	inFlight       int // requests of this VM
+	othersInFlight int // requests of other VMs, by the last report
+	reportedAt     time.Time
+	reportedTotal  int  // requests of all VMs, by the last report
+	unsentReport   bool // set if DrainReports has not returned the report yet
+	reportSeq      uint64
+	failures       int // consecutive
+	pausedUntil    time.Time
+	outcomes       outcomes
+	ejectedUntil   time.Time
+	refusedAt      time.Time // when its port last refused a connection
+	exitedAt       time.Time // when its process last seemed to have exited
+	respondedAt    time.Time // first response after the exit at any VM
+	previousExit   exit      // restored if the last exit is retracted
+	uncertain      bool      // set if one closed connection is the only evidence
+	provenAlive    Span
+	noExitDuring   Span // refutes suspected exits within it
+	signals        signals
 }
 
-// Begin counts a request of this VM.
+// Begin counts a request that this VM starts.
 func (l *Load) Begin() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.own++
+	l.inFlight++
 }
 
-// End takes a request of this VM off.
+// End removes a request of this VM that has finished.
 func (l *Load) End() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.own--
+	l.inFlight--
 }
 
-// Own returns how many requests of this VM are under way.
+// Own returns the number of requests of this VM in flight.
 func (l *Load) Own() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.own
+	return l.inFlight
 }
 
-// Told takes in the worker's own word on the requests it runs and holds. It is
-// to be called before End of the request whose answer carried it.
+// Told records the worker's report of its running and waiting requests. It must be called
+// before End of the request whose response carried the report.
 func (l *Load) Told(running, waiting int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.others = max(0, running+waiting-(l.own-1))
-	l.told = l.now()
-	l.total, l.fresh = running+waiting, true
-	l.number = l.numbers.Add(1)
+	l.othersInFlight = max(0, running+waiting-(l.inFlight-1))
+	l.reportedAt = l.now()
+	l.reportedTotal, l.unsentReport = running+waiting, true
+	l.reportSeq = l.lastReportSeq.Add(1)
 }
 
-// Busy returns how many requests the worker is thought to hold: those of this
-// VM and, fading within reportFades, what it last told of others.
+// Busy returns the estimated number of requests at the worker: those of this VM, plus those
+// of other VMs by the last report, weighted down linearly to 0 over reportTTL.
 func (l *Load) Busy() float64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	age := l.now().Sub(l.told)
-	if age >= reportFades {
-		return float64(l.own)
+	age := l.now().Sub(l.reportedAt)
+	if age >= reportTTL {
+		return float64(l.inFlight)
 	}
-	return float64(l.own) + float64(l.others)*(1-age.Seconds()/reportFades.Seconds())
+	return float64(l.inFlight) + float64(l.othersInFlight)*(1-age.Seconds()/reportTTL.Seconds())
 }
 
-// Failed notes that the worker did not answer, and pauses it.
+// Failed records that the worker didn't respond, and pauses it.
 func (l *Load) Failed() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	pause := min(firstPause<<min(l.failures, 8), longestPause)
+	pause := min(minPause<<min(l.failures, 8), maxPause)
 	l.failures++
-	l.pausedTo = l.now().Add(pause)
-	l.limits.add(l)
+	l.pausedUntil = l.now().Add(pause)
+	l.constrained.add(l)
 }
 
-// Answered notes that the worker answered, and ends a pause.
+// Answered records a response, and ends a pause.
 func (l *Load) Answered() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.failures = 0
-	l.pausedTo = time.Time{}
-	l.signals.answered(l.now())
-	if last := l.lastEnd(); !last.IsZero() && l.returned.Before(last) {
-		l.returned = l.now()
+	l.pausedUntil = time.Time{}
+	l.signals.recordResponse(l.now())
+	if last := l.lastExit(); !last.IsZero() && l.respondedAt.Before(last) {
+		l.respondedAt = l.now()
 	}
 }
 
 const (
-	// mayBeCold is for how long after its port was closed a worker may be a new process of
-	// which the store has not told yet: it writes its entry at its start and each 1.5 s, and
-	// news of it takes a second.
-	mayBeCold = 3 * time.Second
-	// newsOfStart is within what time after a process has ended the store has the entry of
-	// the next one, if it is there.
-	newsOfStart = 1500 * time.Millisecond
-	// storeSilent is the age of what is known of workers from which on the store counts as
-	// silent. In calm it is below a second and a half.
-	storeSilent = 2 * time.Second
-	// maxColdStart bounds for how long a worker may be taken as cold without news of it.
-	maxColdStart = 30 * time.Second
+	// refusedColdTime is how long after a refused connection the worker may be a new
+	// process that is missing in the store. A worker writes its entry at its start and
+	// every 1.5 s, and the change takes up to a second to arrive.
+	refusedColdTime = 3 * time.Second
+	// startPropagation is the time after an exit by which the store has the entry of a
+	// process that has replaced it.
+	startPropagation = 1500 * time.Millisecond
+	// storeSilentAfter is the age of the store's data at which the store counts as silent.
+	// It is above the usual maximum of 1.5 s.
+	storeSilentAfter = 2 * time.Second
+	// maxUnconfirmedCold bounds how long a worker may count as cold without confirmation
+	// from the store.
+	maxUnconfirmedCold = 30 * time.Second
 )
 
-// Refused notes that nobody listens at the worker's port: its process has ended.
+// Refused records that the worker's port refused a connection, which means that its process
+// has exited.
 func (l *Load) Refused() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.refused = l.now()
+	l.refusedAt = l.now()
 }
 
-// Ended notes that the worker ended all connections that were looked at: its process may
-// have ended.
+// Ended records that the worker closed all connections that were checked. Its process may
+// have exited.
 func (l *Load) Ended() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.endAt(l.now())
-	l.doubtful = false
-	l.limits.add(l)
+	l.recordExit(l.now())
+	l.uncertain = false
+	l.constrained.add(l)
 }
 
-// HungUp notes that the worker ended one connection under a request. Its process may have
-// ended, or an answer was lost.
+// HungUp records that the worker closed one connection during a request. Its process may
+// have exited, or only a response was lost.
 func (l *Load) HungUp() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.doubtful = l.lastEnd().Before(l.now().Add(-sameEnd)) || l.doubtful
-	l.endAt(l.now())
-	l.limits.add(l)
+	l.uncertain = l.lastExit().Before(l.now().Add(-duplicateSignalWindow)) || l.uncertain
+	l.recordExit(l.now())
+	l.constrained.add(l)
 }
 
-// end is when a process seemed to have ended, and when a VM first had an answer after that.
-type end struct{ at, returned time.Time }
+// exit is a suspected exit of a process and the first response after it at any VM.
+type exit struct{ at, respondedAt time.Time }
 
-// endAt takes in an end, which may prove to be none.
-func (l *Load) endAt(at time.Time) {
-	if l.earlier.at.IsZero() || at.Sub(l.earlier.at) >= maxColdStart {
-		l.earlier = end{l.ended, l.returned}
+// recordExit records a suspected exit, which may be retracted later.
+func (l *Load) recordExit(at time.Time) {
+	if l.previousExit.at.IsZero() || at.Sub(l.previousExit.at) >= maxUnconfirmedCold {
+		l.previousExit = exit{l.exitedAt, l.respondedAt}
 	}
-	l.ended = at
+	l.exitedAt = at
 }
 
-// MayBeCold reports whether the worker may be a process that has just started, though
-// its entry is that of the one before. Confirmed is when the store last confirmed what is
-// known of workers, coldStart for how long one is cold after its start. Until the store could
-// tell of a start nothing does but what the worker's port does. It is down for a while
-// first: a start counts from the first answer after the end, at any VM.
-func (l *Load) MayBeCold(confirmed time.Time, coldStart time.Duration) bool {
+// MayBeCold reports whether the worker may be a process that has just started although the
+// entry describes its predecessor. storeConfirmed is when the store last confirmed the
+// known entries, coldStart how long a worker is cold after its start. Until the store can reflect a
+// restart, only the connections reveal it. The cold time counts from the first response after
+// the exit at any VM, since the port is closed for a while first.
+func (l *Load) MayBeCold(storeConfirmed time.Time, coldStart time.Duration) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	now := l.now()
-	if !l.refused.IsZero() && now.Sub(l.refused) < mayBeCold {
+	if !l.refusedAt.IsZero() && now.Sub(l.refusedAt) < refusedColdTime {
 		return true
 	}
-	started := l.lastEnd()
-	if started.IsZero() || now.Sub(started) >= maxColdStart {
+	started := l.lastExit()
+	if started.IsZero() || now.Sub(started) >= maxUnconfirmedCold {
 		return false
 	}
-	if l.returned.After(started) {
-		started = l.returned
-		if now.Sub(started) >= max(coldStart, mayBeCold) {
+	if l.respondedAt.After(started) {
+		started = l.respondedAt
+		if now.Sub(started) >= max(coldStart, refusedColdTime) {
 			return false
 		}
 	}
-	silent := now.Sub(confirmed) > storeSilent
-	return confirmed.Before(started) && !l.doubtful || silent && confirmed.Before(started.Add(newsOfStart))
+	silent := now.Sub(storeConfirmed) > storeSilentAfter
+	return storeConfirmed.Before(started) && !l.uncertain || silent && storeConfirmed.Before(started.Add(startPropagation))
 }
 
-// endSeen is how much the end of a process and what is seen of it may lie apart: answers that
-// were under way come until then, over the longest ways between regions.
-const endSeen = 200 * time.Millisecond
+// exitObservationSkew is the maximum time between an exit and its observation. Responses in
+// flight may still arrive for this long, also between distant regions.
+const exitObservationSkew = 200 * time.Millisecond
 
-// Span is a time in which one process of a worker is known to have lived: from when a
-// connection was opened to when an answer came over it, or over others that overlap.
+// Span is a time during which one process of a worker is known to have lived, from the
+// opening of a connection to a response over it. Overlapping times are joined.
 type Span struct{ From, To time.Time }
 
-// holds reports whether a moment is within the span, and not at its margins.
-func (s Span) holds(at time.Time) bool {
-	return s.From.Before(at.Add(-endSeen)) && s.To.After(at.Add(endSeen))
+// contains reports whether a time lies within the span and outside the skew at its ends.
+func (s Span) contains(at time.Time) bool {
+	return s.From.Before(at.Add(-exitObservationSkew)) && s.To.After(at.Add(exitObservationSkew))
 }
 
-// Proved notes an answer over a connection that was opened at a moment. A connection does not
-// outlive the process at its other end, so an end in between was none: only other
-// connections were lost. Without it a day on which three of eleven VMs lose connections while
-// the store is silent for 5 s was worth 0.705 in place of 0.741.
-func (l *Load) Proved(opened time.Time) {
+// Proved records a response over a connection that was opened at the given time. A
+// connection doesn't outlive the process at its other end, so a suspected exit in between
+// is wrong: only other connections were lost.
+func (l *Load) Proved(connectionOpened time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if opened.After(l.proved.To) || opened.Before(l.proved.From) {
-		l.proved.From = opened
+	if connectionOpened.After(l.provenAlive.To) || connectionOpened.Before(l.provenAlive.From) {
+		l.provenAlive.From = connectionOpened
 	}
-	l.proved.To = l.now()
-	l.acquit(l.proved)
+	l.provenAlive.To = l.now()
+	l.retractOutlivedExit(l.provenAlive)
 }
 
-// acquit forgets an end that the process has outlived. The one before it may have been
-// one: what is seen late of that seems to be another.
-func (l *Load) acquit(s Span) {
-	if l.ended.IsZero() || !s.holds(l.ended) {
+// retractOutlivedExit discards a suspected exit that the process outlived. It restores the
+// exit before, since the discarded one may be a late observation of it.
+func (l *Load) retractOutlivedExit(s Span) {
+	if l.exitedAt.IsZero() || !s.contains(l.exitedAt) {
 		return
 	}
-	l.lived = s
-	l.ended, l.returned, l.earlier = l.earlier.at, l.earlier.returned, end{}
-	if s.holds(l.ended) {
-		l.ended, l.returned = time.Time{}, time.Time{}
+	l.noExitDuring = s
+	l.exitedAt, l.respondedAt, l.previousExit = l.previousExit.at, l.previousExit.respondedAt, exit{}
+	if s.contains(l.exitedAt) {
+		l.exitedAt, l.respondedAt = time.Time{}, time.Time{}
 	}
 }
 
-// lastEnd returns when the worker's process last seemed to have ended.
-func (l *Load) lastEnd() time.Time {
-	if l.ended.After(l.refused) {
-		return l.ended
+// lastExit returns when the worker's process last seemed to have exited, zero if never.
+func (l *Load) lastExit() time.Time {
+	if l.exitedAt.After(l.refusedAt) {
+		return l.exitedAt
 	}
-	return l.refused
+	return l.refusedAt
 }
 
-// endedLately reports whether MayBeCold may still say so.
-func (l *Load) endedLately() bool {
+// exitedRecently reports whether the last exit can still affect MayBeCold.
+func (l *Load) exitedRecently() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	last := l.lastEnd()
-	return !last.IsZero() && l.now().Sub(last) < maxColdStart
+	last := l.lastExit()
+	return !last.IsZero() && l.now().Sub(last) < maxUnconfirmedCold
 }
 
-// Paused reports whether the worker should get nothing for now.
+// Paused reports whether the worker is paused after a failure.
 func (l *Load) Paused() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.now().Before(l.pausedTo)
+	return l.now().Before(l.pausedUntil)
 }
--- a/state/worker/outcomes.go
+++ b/state/worker/outcomes.go
@@ -8,33 +8,32 @@
 	"time"
 )
 
-// outcomeMemory is the time in which answers fade to 1/e. A failure is told with
-// the answers of about that time before it.
-const outcomeMemory = 4 * time.Second
+// outcomeDecayTime is the time in which the count of successes decays to 1/e. A failure is
+// reported together with the responses of about this time before it.
+const outcomeDecayTime = 4 * time.Second
 
 const (
-	// goneFailures is for how many failures the word of another worker at the
-	// address stands: enough for a worker to be spared by all VMs. Where each of
-	// 295 VMs found out by itself, 366 workers whose addresses had passed to
-	// others cost 1,778 requests in two seconds.
-	goneFailures = 3
-	// gonePause is for how long a worker that has ended gets nothing: the store
-	// drops its entry sooner.
-	gonePause = 30 * time.Second
+	// addressReuseFailures is the number of failures that a reused address counts for. It
+	// is high enough for all VMs to eject the worker, so that they don't have to find out
+	// one by one.
+	addressReuseFailures = 3
+	// addressReusePause is how long a worker whose address was reused gets no requests. The
+	// store drops its entry earlier.
+	addressReusePause = 30 * time.Second
 )
 
-// Outcomes are the exchanges with a worker that ended lately. A refusal is
-// neither: the worker has not run it.
+// Outcomes counts recent exchanges with a worker. Refused requests count as neither, since
+// the worker didn't run them.
 type Outcomes struct{ Answered, Failed uint32 }
 
-// outcomes are those of one worker that were not taken yet.
+// outcomes counts the exchanges with one worker since the last drain.
 type outcomes struct {
-	answered float64
-	at       time.Time
-	failed   uint32
+	succeeded   float64
+	succeededAt time.Time
+	failed      uint32
 }
 
-// Outcome counts an exchange that ended.
+// Outcome counts a finished exchange.
 func (l *Load) Outcome(failed bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -43,73 +42,72 @@
 		return
 	}
 	now := l.now()
-	l.outcomes.answered = 1 + l.outcomes.left(now)
-	l.outcomes.at = now
+	l.outcomes.succeeded = 1 + l.outcomes.decayedSuccesses(now)
+	l.outcomes.succeededAt = now
 }
 
-// Gone notes that another worker has the address of this one, which therefore has
-// ended. It gets nothing more, and counts as goneFailures, so that the other VMs
-// need not ask it to find out.
+// Gone records that the worker's address now belongs to another worker, which means that
+// its process has exited. It pauses the worker and counts addressReuseFailures, so that
+// other VMs eject it without trying it.
 func (l *Load) Gone() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.outcomes.failed += goneFailures
-	l.pausedTo = l.now().Add(gonePause)
-	l.limits.add(l)
+	l.outcomes.failed += addressReuseFailures
+	l.pausedUntil = l.now().Add(addressReusePause)
+	l.constrained.add(l)
 }
 
-// left returns how many answers have not faded.
-func (o outcomes) left(now time.Time) float64 {
-	return o.answered * math.Exp(-now.Sub(o.at).Seconds()/outcomeMemory.Seconds())
+// decayedSuccesses returns the decayed count of successful exchanges.
+func (o outcomes) decayedSuccesses(now time.Time) float64 {
+	return o.succeeded * math.Exp(-now.Sub(o.succeededAt).Seconds()/outcomeDecayTime.Seconds())
 }
 
-// Spare gives the worker nothing for a time, unless too many of its service are
-// spared.
-func (l *Load) Spare(left time.Duration) {
+// Spare excludes the worker for a time. It still gets requests if too many workers of its
+// service are ejected.
+func (l *Load) Spare(duration time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.sparedTo = l.now().Add(left)
-	l.limits.add(l)
+	l.ejectedUntil = l.now().Add(duration)
+	l.constrained.add(l)
 }
 
-// Spared reports whether the worker is spared.
+// Spared reports whether the worker is ejected.
 func (l *Load) Spared() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.now().Before(l.sparedTo)
+	return l.now().Before(l.ejectedUntil)
 }
 
-// TakeOutcomes returns the outcomes, by the worker's id, of at most so many
-// workers that have failed since the last call; a sound worker costs nothing to
-// tell of.
-func (l *Loads) TakeOutcomes(most int) map[string]Outcomes {
-	taken := make(map[string]Outcomes)
+// TakeOutcomes returns and resets the outcomes of at most limit workers that have failed
+// since the last call, by incarnation ID. Workers without failures are left out.
+func (l *Loads) TakeOutcomes(limit int) map[string]Outcomes {
+	drained := make(map[string]Outcomes)
 	for i := range l.shards {
-		l.shards[i].takeOutcomes(taken, most)
+		l.shards[i].drainOutcomes(drained, limit)
 	}
-	return taken
+	return drained
 }
 
-func (s *shard) takeOutcomes(taken map[string]Outcomes, most int) {
+func (s *shard) drainOutcomes(drained map[string]Outcomes, limit int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for id, load := range s.loads {
-		if len(taken) >= most {
+		if len(drained) >= limit {
 			return
 		}
-		if o, failed := load.takeOutcomes(); failed {
-			taken[id] = o
+		if o, failed := load.drainOutcomes(); failed {
+			drained[id] = o
 		}
 	}
 }
 
-func (l *Load) takeOutcomes() (Outcomes, bool) {
+func (l *Load) drainOutcomes() (Outcomes, bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.outcomes.failed == 0 {
 		return Outcomes{}, false
 	}
-	o := Outcomes{Answered: uint32(math.Round(l.outcomes.left(l.now()))), Failed: l.outcomes.failed}
+	o := Outcomes{Answered: uint32(math.Round(l.outcomes.decayedSuccesses(l.now()))), Failed: l.outcomes.failed}
 	l.outcomes = outcomes{}
 	return o, true
 }
--- a/state/worker/outlived_test.go
+++ b/state/worker/outlived_test.go
@@ -12,56 +12,50 @@
 	"github.com/ryehill/ryehill/state/worker"
 )
 
-// What users would have seen: a twentieth more of the requests refused for seconds after some
-// VMs had lost their connections while the store was silent. Each took the workers at the
-// other ends as ended, and told all others, so that every worker got what a cold one bears.
-// But a connection that was opened before an end and answers after it shows that there was
-// none.
-func TestEndThatAWorkerOutlives(t *testing.T) {
-	const coldStart, silent = 5 * time.Second, 10 * time.Second
+// Connections lost while the store is silent must not make live workers count as cold.
+func TestOutlivedExitIsRetracted(t *testing.T) {
+	const coldStart, storeSilence = 5 * time.Second, 10 * time.Second
 	cases := map[string]struct {
-		// opened and answered are when the connection of an answer was opened and when it
-		// came, after the end.
-		opened, answered time.Duration
-		cold             bool
+		// Times relative to the exit: when the connection was opened and when the response
+		// arrived.
+		opened, responded time.Duration
+		cold              bool
 	}{
-		"an answer over an older connection":    {-time.Second, 400 * time.Millisecond, false},
-		"over one that was opened since":        {100 * time.Millisecond, 400 * time.Millisecond, true},
-		"one that was under way as it ended":    {-time.Second, 50 * time.Millisecond, true},
-		"one that was opened just as it ended":  {-50 * time.Millisecond, 400 * time.Millisecond, true},
-		"an older connection, some seconds ago": {-20 * time.Second, 2 * time.Second, false},
+		"older connection":               {-time.Second, 400 * time.Millisecond, false},
+		"opened after the exit":          {100 * time.Millisecond, 400 * time.Millisecond, true},
+		"response in flight at the exit": {-time.Second, 50 * time.Millisecond, true},
+		"opened just before the exit":    {-50 * time.Millisecond, 400 * time.Millisecond, true},
+		"much older connection":          {-20 * time.Second, 2 * time.Second, false},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
 			clock := clockwork.NewFakeClock()
-			clock.Advance(silent)
-			end, loads, peers := clock.Now(), worker.NewLoads(clock.Now), worker.NewLoads(clock.Now)
+			clock.Advance(storeSilence)
+			exitedAt, loads, peers := clock.Now(), worker.NewLoads(clock.Now), worker.NewLoads(clock.Now)
 			l, peer := loads.Of("w"), peers.Of("w")
 			l.Ended()
-			peer.Hear(worker.Ended{At: end})
-			clock.Advance(c.answered)
-			l.Proved(end.Add(c.opened))
-			l.Hear(worker.Ended{At: end.Add(5 * time.Millisecond)}) // From another VM, which is behind.
-			if got := l.MayBeCold(end.Add(-silent), coldStart); got != c.cold {
-				t.Errorf("taken as cold: %t", got)
+			peer.Hear(worker.Ended{At: exitedAt})
+			clock.Advance(c.responded)
+			l.Proved(exitedAt.Add(c.opened))
+			l.Hear(worker.Ended{At: exitedAt.Add(5 * time.Millisecond)}) // A late notice from another VM.
+			if got := l.MayBeCold(exitedAt.Add(-storeSilence), coldStart); got != c.cold {
+				t.Errorf("MayBeCold is %t", got)
 			}
 			peer.Hear(loads.Told()["w"].Ended)
-			if got := peer.MayBeCold(end.Add(-silent), coldStart); got != c.cold {
-				t.Errorf("taken as cold by another VM that is told: %t", got)
+			if got := peer.MayBeCold(exitedAt.Add(-storeSilence), coldStart); got != c.cold {
+				t.Errorf("MayBeCold is %t at a VM that got the signal", got)
 			}
 			clock.Advance(time.Second)
 			l.Ended()
-			if !l.MayBeCold(end.Add(-silent), coldStart) {
-				t.Error("a later end is not believed")
+			if !l.MayBeCold(exitedAt.Add(-storeSilence), coldStart) {
+				t.Error("a later exit is ignored")
 			}
 		})
 	}
 }
 
-// A VM that finds late that its connections to the process before are closed takes that for an
-// end of the one that has begun since. That one lives; the end before it was one all the same,
-// and the worker is cold.
-func TestLateNoticeOfAnEnd(t *testing.T) {
+// A late notice of an earlier exit must not make its cold successor count as warm.
+func TestLateExitNotice(t *testing.T) {
 	const coldStart = 5 * time.Second
 	clock := clockwork.NewFakeClock()
 	clock.Advance(time.Minute)
@@ -74,15 +68,15 @@
 	l.Answered()
 	l.Proved(opened)
 	clock.Advance(time.Second)
-	l.Ended() // Of connections to the process before.
+	l.Ended() // Connections to the previous process.
 	clock.Advance(time.Second)
 	l.Proved(opened)
 	peer.Hear(loads.Told()["w"].Ended)
 	if !l.MayBeCold(confirmed, coldStart) || !peer.MayBeCold(confirmed, coldStart) {
-		t.Error("taken as warm 2 s after its start")
+		t.Error("warm 2 s after its start")
 	}
 	clock.Advance(coldStart)
 	if l.MayBeCold(confirmed, coldStart) {
-		t.Error("taken as cold 7 s after its start")
+		t.Error("cold 7 s after its start")
 	}
 }
--- a/state/worker/ratelimit.go
+++ b/state/worker/ratelimit.go
@@ -9,28 +9,27 @@
 )
 
 const (
-	// rampStep is the time in which the rate of a worker that no longer names a limit
-	// doubles, and rampSteps after how many of these the rate is unlimited.
-	rampStep  = 500 * time.Millisecond
-	rampSteps = 6
-	// leastRamp is the rate, in requests a second, from which the ramp begins at least.
-	leastRamp = 2.0
-	// relayMargin is how much older than it seems a looser limit is taken to be that another
-	// VM has told: its age does not count its way.
+	// rateRampStep is the time in which the rate doubles after a worker has stopped naming
+	// a limit, and rateRampSteps the number of steps after which it is unlimited.
+	rateRampStep  = 500 * time.Millisecond
+	rateRampSteps = 6
+	// minRampRate is the minimum rate at the start of the ramp, in requests per second.
+	minRampRate = 2.0
+	// relayMargin is added to the age of a looser limit that another VM relayed, since its
+	// age excludes the transit time.
 	relayMargin = 200 * time.Millisecond
-	// endToldFor is for how long VMs tell each other that a worker names no limit any more.
-	endToldFor = 10 * time.Second
+	// limitEndSharedFor is how long VMs share the end of a limit.
+	limitEndSharedFor = 10 * time.Second
 )
 
-// RateLimit is what a worker says in an answer of the rate that it takes from all VMs
-// together.
+// RateLimit is the rate that a worker accepts from all VMs together, as named in a response.
 type RateLimit struct {
-	// PerS is the rate in requests a second, math.Inf(1) if the answer names none.
+	// PerS is the rate in requests per second, math.Inf(1) if the response names no limit.
 	PerS float64
-	// The answer was made between the moment at which its request was sent and the moment
-	// at which it came.
+	// The response was created between Sent, when its request was sent, and Heard, when it
+	// arrived.
 	Sent, Heard time.Time
-	// From is FromAnswer or the VM that has told it.
+	// From is FromResponse or the VM that relayed the limit.
 	From string
 }
 
@@ -39,64 +38,64 @@
 // Named reports whether there is a limit.
 func (r RateLimit) Named() bool { return !r.Heard.IsZero() && !math.IsInf(r.PerS, 1) }
 
-// rateState is what is known of the limit of one life of a worker.
+// rateState is the known rate limit of one process of a worker.
 type rateState struct {
 	last RateLimit
-	// since is when this VM first heard of the limit that is in force.
-	since time.Time
-	// before is the last limit that was named, if last names none.
-	before float64
+	// limitedSince is when this VM first learned of the limit in force.
+	limitedSince time.Time
+	// previousPerSecond is the last limit, if the latest response names none.
+	previousPerSecond float64
 }
 
-// hear takes in a limit. Answers overtake each other, so a tighter limit holds at once
-// unless it is older for certain, and a looser one, or none, only if its request was sent
-// after the last answer with the tighter one had come. It reports whether a limit begins,
-// changes by much or ends.
-func (s *rateState) hear(r RateLimit, now time.Time) (notable bool) {
-	held := s.last
-	if !held.Named() && !r.Named() || !r.Heard.After(held.Sent) {
+// observe applies a limit. Responses can arrive out of order, so a tighter limit applies
+// immediately unless it is certainly older, and a looser one, or none, only if its request
+// was sent after the last response with the tighter limit had arrived. It reports whether a
+// limit begins, changes by much or ends.
+func (s *rateState) observe(r RateLimit, now time.Time) (notable bool) {
+	previous := s.last
+	if !previous.Named() && !r.Named() || !r.Heard.After(previous.Sent) {
 		return false
 	}
 	switch {
-	case held.Named() && r.PerS == held.PerS:
+	case previous.Named() && r.PerS == previous.PerS:
 		s.refresh(r)
 		return false
-	case held.Named() && r.PerS > held.PerS && !r.certain().After(held.Heard):
+	case previous.Named() && r.PerS > previous.PerS && !r.earliestCreation().After(previous.Heard):
 		return false
 	}
 	s.last = r
 	switch {
 	case !r.Named():
-		s.before = held.PerS
-	case !held.Named():
-		s.since = now
+		s.previousPerSecond = previous.PerS
+	case !previous.Named():
+		s.limitedSince = now
 	}
-	return r.Named() != held.Named() || muchApart(r.PerS, held.PerS)
+	return r.Named() != previous.Named() || differMuch(r.PerS, previous.PerS)
 }
 
-// refresh takes in a limit that is known already.
+// refresh updates the times of a limit that is already known.
 func (s *rateState) refresh(r RateLimit) {
-	if r.From != FromAnswer && r.Heard.Before(s.last.Heard.Add(sameEnd)) {
+	if r.From != FromAnswer && r.Heard.Before(s.last.Heard.Add(duplicateSignalWindow)) {
 		return
 	}
 	s.last.Sent, s.last.Heard = later(s.last.Sent, r.Sent), later(s.last.Heard, r.Heard)
 }
 
-// certain returns the moment after which the answer was made for certain.
-func (r RateLimit) certain() time.Time {
+// earliestCreation returns the earliest time at which the response can have been created.
+func (r RateLimit) earliestCreation() time.Time {
 	if r.From == FromAnswer {
 		return r.Sent
 	}
 	return r.Sent.Add(-relayMargin)
 }
 
-// tells reports whether other VMs are to be told.
-func (s *rateState) tells(now time.Time) bool {
-	return s.last.Named() || now.Sub(s.last.Heard) < endToldFor
+// shared reports whether the limit is to be shared with other VMs.
+func (s *rateState) shared(now time.Time) bool {
+	return s.last.Named() || now.Sub(s.last.Heard) < limitEndSharedFor
 }
 
-// muchApart reports whether one rate is more than half as much again as the other.
-func muchApart(a, b float64) bool {
+// differMuch reports whether one rate is more than 1.5 times the other.
+func differMuch(a, b float64) bool {
 	const much = 1.5
 	return max(a, b) > much*min(a, b)
 }
@@ -108,25 +107,25 @@
 	return b
 }
 
-// rate returns the rate that all VMs together may use at a moment, if it is bounded. After
-// the worker has stopped naming a limit the rate doubles step by step: all that was kept
-// away would else come at once.
-func (s *rateState) rate(now time.Time) (perS float64, limited bool) {
+// rate returns the rate that all VMs together may use now, if it is limited. After the end
+// of a limit the rate doubles in steps, so that the requests held back don't arrive all at
+// once.
+func (s *rateState) rate(now time.Time) (perSecond float64, limited bool) {
 	if s.last.Named() {
 		return s.last.PerS, true
 	}
-	steps := now.Sub(s.last.Heard).Seconds() / rampStep.Seconds()
-	if s.last.Heard.IsZero() || steps >= rampSteps {
+	steps := now.Sub(s.last.Heard).Seconds() / rateRampStep.Seconds()
+	if s.last.Heard.IsZero() || steps >= rateRampSteps {
 		return 0, false
 	}
-	return max(s.before, leastRamp) * math.Exp2(max(steps, 0)), true
+	return max(s.previousPerSecond, minRampRate) * math.Exp2(max(steps, 0)), true
 }
 
-// RateLimit returns the rate, in requests a second, that all VMs together may send to a
-// worker now, if it is bounded.
-func (l *Loads) RateLimit(w *Worker) (perS float64, limited bool) {
-	load, held := l.Limited()[w.Life()]
-	if !held {
+// RateLimit returns the rate, in requests per second, that all VMs together may send to a
+// worker now, if it is limited.
+func (l *Loads) RateLimit(w *Worker) (perSecond float64, limited bool) {
+	load, constrained := l.Limited()[w.Life()]
+	if !constrained {
 		return 0, false
 	}
 	load.mu.Lock()
@@ -134,7 +133,7 @@
 	return load.signals.rate.rate(load.now())
 }
 
-// RateLimit returns what the worker has last said of its limit.
+// RateLimit returns the limit that the worker named last.
 func (l *Load) RateLimit() RateLimit {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/state/worker/standing.go
+++ b/state/worker/standing.go
@@ -5,154 +5,154 @@
 
 import "time"
 
-// Standing says whether this VM may send a worker a new request now, and if not, why and
-// until when. Every choice of a worker asks for it, so that no way to a worker passes by
-// what is known of it.
-type Standing interface{ isStanding() }
+// Standing says whether this VM may send a new request to a worker now, and if not, why and
+// until when. All selections of a worker go through it, so that none ignores a known
+// restriction.
+type Standing interface{ isAvailability() }
 
 // Ready is a worker that may get requests.
 type Ready struct{}
 
-// Left is a worker that is about to end and whose time to get requests is over.
+// Left is a worker that is shutting down and whose time for new requests has passed.
 type Left struct{ Leaving }
 
-// Resting is a worker that wants nothing from this VM for now.
+// Resting is a worker that asked this VM for a pause.
 type Resting struct{ Until time.Time }
 
-// Paused is a worker that failed just now. It is for want of any other.
+// Paused is a worker that failed just now. It is used only if no other worker is left.
 type Paused struct{ Until time.Time }
 
-// Spared is a worker that fails too much. It gets requests if too many are spared.
+// Spared is a worker with a high failure rate. It still gets requests if too many workers
+// are ejected.
 type Spared struct{ Until time.Time }
 
-// Limited is a worker that takes a limited rate from all VMs together. Each request to it
+// Limited is a worker that accepts a limited rate from all VMs together. Each request to it
 // needs a permit.
 type Limited struct {
-	// PerS is the rate in requests a second, From who has last told of it, and Since when
-	// this VM first knew of a limit.
+	// PerS is the rate in requests per second, From the source of the limit, and Since when
+	// this VM first learned of a limit.
 	PerS  float64
 	From  string
 	Since time.Time
 }
 
-func (Ready) isStanding()   {}
-func (Left) isStanding()    {}
-func (Resting) isStanding() {}
-func (Paused) isStanding()  {}
-func (Spared) isStanding()  {}
-func (Limited) isStanding() {}
+func (Ready) isAvailability()   {}
+func (Left) isAvailability()    {}
+func (Resting) isAvailability() {}
+func (Paused) isAvailability()  {}
+func (Spared) isAvailability()  {}
+func (Limited) isAvailability() {}
 
-// Standings tells the standings of many workers. It looks up once what Loads.Standing looks
-// up for each.
-type Standings struct{ limited map[string]*Load }
+// Standings returns the availability of many workers from one snapshot.
+type Standings struct{ constrained map[string]*Load }
 
-// Standings returns the standings of all workers.
+// Standings returns a snapshot for checking many workers.
 func (l *Loads) Standings() Standings { return Standings{l.Limited()} }
 
-// Standing returns the standing of a worker at a moment.
+// Standing returns the availability of a worker at a time.
 func (l *Loads) Standing(w *Worker, now time.Time) Standing { return l.Standings().Of(w, now) }
 
-// Of returns the standing of a worker at a moment. Nearly all workers have none of their
-// own: the choice among 1,047 takes 41 us, and 209 where each is asked for all it may have
-// said (BenchmarkPlace).
+// Of returns the availability of a worker at a time. Most workers have no restriction, and
+// for these it takes no lock.
 func (s Standings) Of(w *Worker, now time.Time) Standing {
-	load, limited := s.limited[w.Life()]
-	if !limited && !w.Leaving {
+	load, constrained := s.constrained[w.Life()]
+	if !constrained && !w.Leaving {
 		return Ready{}
 	}
-	if leaving, ok := leavingOf(w, load); ok && !leaving.Open(now) {
+	if leaving, ok := earliestLeaving(w, load); ok && !leaving.Open(now) {
 		return Left{leaving}
 	}
-	if !limited {
+	if !constrained {
 		return Ready{}
 	}
-	return load.standing(now)
+	return load.availability(now)
 }
 
-func (l *Load) standing(now time.Time) Standing {
+func (l *Load) availability(now time.Time) Standing {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if until, ok := l.signals.rests(l.own, now); ok {
+	if until, ok := l.signals.restUntil(l.inFlight, now); ok {
 		return Resting{until}
 	}
 	switch {
-	case now.Before(l.pausedTo):
-		return Paused{l.pausedTo}
-	case now.Before(l.sparedTo):
-		return Spared{l.sparedTo}
+	case now.Before(l.pausedUntil):
+		return Paused{l.pausedUntil}
+	case now.Before(l.ejectedUntil):
+		return Spared{l.ejectedUntil}
 	}
 	rate := &l.signals.rate
-	if perS, limited := rate.rate(now); limited {
-		return Limited{PerS: perS, From: rate.last.From, Since: rate.since}
+	if perSecond, limited := rate.rate(now); limited {
+		return Limited{PerS: perSecond, From: rate.last.From, Since: rate.limitedSince}
 	}
 	return Ready{}
 }
 
-// Leaving returns what is known of a worker's leaving, by its own word, another VM's or
-// the store's: the one that binds earliest.
-func (l *Loads) Leaving(w *Worker) (Leaving, bool) { return leavingOf(w, l.Limited()[w.Life()]) }
+// Leaving returns the earliest known deadline of a worker that is shutting down, as
+// reported by the worker, another VM or the store. The result is false if the worker isn't
+// shutting down.
+func (l *Loads) Leaving(w *Worker) (Leaving, bool) { return earliestLeaving(w, l.Limited()[w.Life()]) }
 
-// leavingOf does the same for a worker of which a load is held, or nil.
-func leavingOf(w *Worker, load *Load) (Leaving, bool) {
+// earliestLeaving implements Leaving. The load may be nil.
+func earliestLeaving(w *Worker, load *Load) (Leaving, bool) {
 	stored := Leaving{Ending: w.Ending, From: FromStore}
 	if load == nil {
 		return stored, w.Leaving
 	}
 	load.mu.Lock()
 	defer load.mu.Unlock()
-	said := load.signals.leaving
-	if load.signals.leaves() && (!w.Leaving || said.Until.Before(stored.Until)) {
-		return said, true
+	signaled := load.signals.leaving
+	if load.signals.isLeaving() && (!w.Leaving || signaled.Until.Before(stored.Until)) {
+		return signaled, true
 	}
 	return stored, w.Leaving
 }
 
-// maxTold bounds the workers of which VMs tell each other signals: 8 KB.
-const maxTold = 256
+// maxSharedSignals bounds the workers in one message of signals to 8 KB.
+const maxSharedSignals = 256
 
-// Told are the signals of one worker that VMs tell each other; the zero value of a field is
-// none.
+// Told holds the signals of one worker that VMs share. The zero value of a field means no
+// signal.
 type Told struct {
-	// Leaving says that it leaves, by its own or another VM's word.
+	// Leaving is set if the worker is shutting down, as reported by itself or another VM.
 	Leaving Leaving
-	// Ended says when its process seemed to have ended.
+	// Ended is when its process seemed to have exited.
 	Ended Ended
-	// RateLimit is the limit that it last named, or that it names none any more.
+	// RateLimit is the last limit that the worker named, or the end of it.
 	RateLimit RateLimit
 }
 
-// Told returns, by life, the signals that VMs tell each other.
+// Told returns the signals to share with other VMs, by incarnation ID.
 func (l *Loads) Told() map[string]Told {
-	var told map[string]Told
-	for life, load := range l.Limited() {
-		t, any := load.tell()
-		if !any || len(told) >= maxTold {
+	var shared map[string]Told
+	for id, load := range l.Limited() {
+		s, found := load.sharedSignals()
+		if !found || len(shared) >= maxSharedSignals {
 			continue
 		}
-		if told == nil {
-			told = make(map[string]Told)
+		if shared == nil {
+			shared = make(map[string]Told)
 		}
-		told[life] = t
+		shared[id] = s
 	}
-	return told
+	return shared
 }
 
-func (l *Load) tell() (t Told, any bool) {
+func (l *Load) sharedSignals() (shared Told, found bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	t.Leaving = l.signals.leaving
-	if last := l.lastEnd(); l.now().Sub(last) < maxColdStart {
-		t.Ended.At, t.Ended.Doubtful = last, l.doubtful
-		if l.returned.After(last) {
-			t.Ended.Returned = l.returned
+	shared.Leaving = l.signals.leaving
+	if last := l.lastExit(); l.now().Sub(last) < maxUnconfirmedCold {
+		shared.Ended.At, shared.Ended.Doubtful = last, l.uncertain
+		if l.respondedAt.After(last) {
+			shared.Ended.Returned = l.respondedAt
 		}
 	}
-	if l.now().Sub(l.lived.To) < maxColdStart {
-		t.Ended.Lived = l.lived
+	if l.now().Sub(l.noExitDuring.To) < maxUnconfirmedCold {
+		shared.Ended.Lived = l.noExitDuring
 	}
-	limited := l.signals.rate.tells(l.now())
-	if limited {
-		t.RateLimit = l.signals.rate.last
+	hasLimit := l.signals.rate.shared(l.now())
+	if hasLimit {
+		shared.RateLimit = l.signals.rate.last
 	}
-	return t, limited || l.signals.leaves() || t.Ended != Ended{}
+	return shared, hasLimit || l.signals.isLeaving() || shared.Ended != Ended{}
 }
--- a/state/worker/track.go
+++ b/state/worker/track.go
@@ -9,33 +9,33 @@
 	"slices"
 )
 
-// CanaryPart is the part of a service's keys, and of the new workers of each region, with
-// which a new version is tried out. With both the same, each of these workers serves about
-// as many requests as an old one does, so that a version which fails under load is found.
+// CanaryPart is the fraction of a service's keys, and of the new workers in each region,
+// that try out a new version. Using one fraction for both gives a canary about the load of
+// a stable worker, so that a version that fails under load is detected.
 const CanaryPart = 0.03
 
-// Track says which workers of a service a request may go to while a new version of it is
-// being brought in.
+// Track selects the workers of a service that may get a request during a rollout.
 type Track uint8
 
-// Tracks.
+// Tracks of a rollout.
 const (
-	// TrackStable are the workers of the version in use.
+	// TrackStable selects the workers of the current version.
 	TrackStable Track = iota
-	// TrackCanary are the few workers that try the new version out.
+	// TrackCanary selects the few workers that try out the new version.
 	TrackCanary
-	// TrackNew are all workers of the new version.
+	// TrackNew selects all workers of the new version.
 	TrackNew
 )
 
-// cohort holds the workers of a version that is being brought in.
+// cohort holds the workers of a version that is being rolled out.
 type cohort struct{ all, canaries []*Worker }
 
-// cohortsOf chooses the canaries of each service: in each region those whose ids have the
-// greatest hashes, so that all VMs choose the same ones and few change.
-func cohortsOf(brought map[string][]*Worker) map[string]cohort {
-	cohorts := make(map[string]cohort, len(brought))
-	for service, all := range brought {
+// cohortsOf selects the canaries of each service: in each region the workers whose IDs have
+// the highest hashes. All VMs select the same ones, and a change of the workers replaces
+// few canaries.
+func cohortsOf(newVersion map[string][]*Worker) map[string]cohort {
+	cohorts := make(map[string]cohort, len(newVersion))
+	for service, all := range newVersion {
 		regions := make(map[string][]*Worker)
 		for _, w := range all {
 			regions[w.Region] = append(regions[w.Region], w)
@@ -45,25 +45,25 @@
 			slices.SortFunc(workers, func(a, b *Worker) int { return cmp.Compare(b.Hash(), a.Hash()) })
 			canaries = append(canaries, workers[:int(math.Ceil(CanaryPart*float64(len(workers))))]...)
 		}
-		byID := func(a, b *Worker) int { return cmp.Compare(a.ID, b.ID) }
-		slices.SortFunc(all, byID)
-		slices.SortFunc(canaries, byID)
+		compareIDs := func(a, b *Worker) int { return cmp.Compare(a.ID, b.ID) }
+		slices.SortFunc(all, compareIDs)
+		slices.SortFunc(canaries, compareIDs)
 		cohorts[service] = cohort{all: all, canaries: canaries}
 	}
 	return cohorts
 }
 
-// Track returns the workers of a service that a request may go to, in order of their ids.
-// Where no old worker is left, the new ones serve. The slice and the workers must not be
-// changed.
+// Track returns the workers of a service on a track, sorted by ID. If no worker of the
+// current version is left, TrackStable selects the new ones. The slice and the workers must
+// not be modified.
 func (s *Set) Track(service string, track Track) []*Worker {
-	brought := s.cohorts[service]
+	newVersion := s.cohorts[service]
 	stable := s.services[service]
 	switch {
 	case track == TrackCanary:
-		return brought.canaries
+		return newVersion.canaries
 	case track == TrackNew || len(stable) == 0:
-		return brought.all
+		return newVersion.all
 	}
 	return stable
 }
--- a/state/worker/track_test.go
+++ b/state/worker/track_test.go
@@ -21,19 +21,19 @@
 			})
 		}
 		set := worker.NewSet(all)
-		Convey("each track has its own, and the set knows all by their ids", func() {
+		Convey("each track has its own workers, and the set contains all", func() {
 			So(set.Service("s"), ShouldHaveLength, 60)
 			So(set.Track("s", worker.TrackStable), ShouldResemble, set.Service("s"))
 			So(set.Track("s", worker.TrackNew), ShouldHaveLength, 60)
 			So(set.Len(), ShouldEqual, 120)
 		})
-		Convey("a new version is tried out in each region, by the same workers everywhere", func() {
+		Convey("each region has a canary, and all sets select the same ones", func() {
 			canaries := set.Track("s", worker.TrackCanary)
 			So(canaries, ShouldHaveLength, 2)
 			So(canaries[0].Region, ShouldNotEqual, canaries[1].Region)
 			So(worker.NewSet(all[60:]).Track("s", worker.TrackCanary)[0].ID, ShouldEqual, canaries[0].ID)
 		})
-		Convey("where no old worker is left, the new ones serve", func() {
+		Convey("without old workers, the stable track has the new ones", func() {
 			So(worker.NewSet(all[60:]).Track("s", worker.TrackStable), ShouldHaveLength, 60)
 		})
 	})
--- a/state/worker/words.go
+++ b/state/worker/words.go
@@ -6,94 +6,96 @@
 import "time"
 
 const (
-	// leastWord is the number of requests from which on a worker's word is
-	// passed on: one request alone tells that it is idle, as no word does.
-	leastWord = 2
-	// maxWords bounds the words of one message: 16 KB.
-	maxWords = 1024
-	// sameWord is how much younger a word may seem that is known already: its age
-	// does not count its way. Without it a word that comes back from the VM that
-	// was told of it is told to all once more.
-	sameWord = 20 * time.Millisecond
+	// minReportedRequests is the minimum of requests in a load report that is forwarded.
+	// With a single request the worker is idle apart from the request whose response carried
+	// the report; a missing report says the same.
+	minReportedRequests = 2
+	// maxReports bounds the load reports in one message to 16 KB.
+	maxReports = 1024
+	// duplicateReportWindow is how much newer than the known report another one must seem
+	// to count as new. The age of a relayed report excludes its transit time; without the
+	// window a report that returns to the VM that sent it would be sent to all VMs again.
+	duplicateReportWindow = 20 * time.Millisecond
 )
 
-// Word is what a worker told of the requests that it runs and holds.
+// Word is a worker's report of the requests that it runs or queues.
 type Word struct {
 	Requests int
-	// Age is how long ago the worker told it.
+	// Age is the time since the worker sent the report.
 	Age time.Duration
 }
 
-// Heard takes in what the worker told another VM, unless what is known is as new.
-func (l *Load) Heard(w Word) {
+// Heard merges a load report that the worker sent to another VM, unless the known one is as
+// new.
+func (l *Load) Heard(r Word) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.hear(w)
+	l.mergeReport(r)
 }
 
-// PassOn does the same, and returns the word with the next TakeWords.
-func (l *Load) PassOn(w Word) {
+// PassOn merges a load report like MergeReport, and includes it in the next DrainReports.
+func (l *Load) PassOn(r Word) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.fresh = l.hear(w) || l.fresh
+	l.unsentReport = l.mergeReport(r) || l.unsentReport
 }
 
-// hear takes in a word under the lock and reports whether it is news.
-func (l *Load) hear(w Word) bool {
-	at := l.now().Add(-w.Age)
-	if !at.After(l.told.Add(sameWord)) {
+// mergeReport merges a load report and reports whether it is new. The caller holds the
+// lock.
+func (l *Load) mergeReport(r Word) bool {
+	at := l.now().Add(-r.Age)
+	if !at.After(l.reportedAt.Add(duplicateReportWindow)) {
 		return false
 	}
-	l.told, l.total = at, w.Requests
-	l.others = max(0, w.Requests-l.own)
-	l.number = l.numbers.Add(1)
+	l.reportedAt, l.reportedTotal = at, r.Requests
+	l.othersInFlight = max(0, r.Requests-l.inFlight)
+	l.reportSeq = l.lastReportSeq.Add(1)
 	return true
 }
 
-// word returns the worker's last word, if it still counts.
-func (l *Load) word() (Word, bool) {
-	age := l.now().Sub(l.told)
-	return Word{Requests: l.total, Age: age}, age < reportFades && l.total >= leastWord
+// currentReport returns the latest load report and whether it is worth forwarding.
+func (l *Load) currentReport() (Word, bool) {
+	age := l.now().Sub(l.reportedAt)
+	return Word{Requests: l.reportedTotal, Age: age}, age < reportTTL && l.reportedTotal >= minReportedRequests
 }
 
-// TakeWords returns what workers told this VM since the last call, by the
-// worker's id.
+// TakeWords returns the load reports that this VM received since the last call, by
+// incarnation ID.
 func (l *Loads) TakeWords() map[string]Word {
-	return l.words(func(load *Load) bool {
-		fresh := load.fresh
-		load.fresh = false
-		return fresh
+	return l.collectReports(func(load *Load) bool {
+		unsent := load.unsentReport
+		load.unsentReport = false
+		return unsent
 	})
 }
 
-// WordsAfter returns what workers told this VM or any that it heard of, by the
-// worker's id, as far as it has come after a number, 0 standing for all; and the
-// number to ask with the next time.
-func (l *Loads) WordsAfter(number uint64) (map[string]Word, uint64) {
-	last := l.heard.Load()
-	return l.words(func(load *Load) bool { return load.number > number }), last
+// WordsAfter returns the known load reports with a sequence number above seq, by
+// incarnation ID, and the number for the next call. A seq of 0 returns all.
+func (l *Loads) WordsAfter(seq uint64) (map[string]Word, uint64) {
+	last := l.lastReportSeq.Load()
+	return l.collectReports(func(load *Load) bool { return load.reportSeq > seq }), last
 }
 
-// words returns the words that still count of the workers that are wanted. Each
-// is asked for under its lock.
-func (l *Loads) words(wanted func(*Load) bool) map[string]Word {
-	words := make(map[string]Word)
+// collectReports returns the valid load reports of the workers for which wanted returns
+// true. It holds the load's lock during the call of wanted.
+func (l *Loads) collectReports(wanted func(*Load) bool) map[string]Word {
+	reports := make(map[string]Word)
 	for i := range l.shards {
-		l.shards[i].words(words, wanted)
+		l.shards[i].collectReports(reports, wanted)
 	}
-	return words
+	return reports
 }
 
-func (s *shard) words(words map[string]Word, wanted func(*Load) bool) {
+func (s *shard) collectReports(reports map[string]Word, wanted func(*Load) bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for id, load := range s.loads {
-		if len(words) >= maxWords {
+		if len(reports) >= maxReports {
 			return
 		}
 		load.mu.Lock()
-		if w, counts := load.word(); wanted(load) && counts {
-			words[id] = w
+		if report, valid := load.currentReport(); wanted(load) && valid {
+			reports[id] = report
 		}
 		load.mu.Unlock()
 	}
--- a/state/worker/worker.go
+++ b/state/worker/worker.go
@@ -1,18 +1,20 @@
 // Copyright 2026 The ryehill Authors
 // SPDX-License-Identifier: Apache-2.0
 
-// Package worker holds what is known of the workers of upstreams: which there
-// are, and how busy each is.
+// Package worker tracks the workers of upstreams: which exist, how loaded each one is, and
+// which of them may get requests now.
 //
-// A Set is what the store says of them at one moment; it is never changed once
-// made. Loads is what this VM has seen of them itself, under way and in
-// answers.
+// A Set is an immutable snapshot of the workers in the store. Loads holds what this VM
+// observed of each worker: requests in flight, load reports, failures and signals, its own
+// and those that other VMs relayed.
 //
 // # Usage
 //
 //	set := worker.NewSet(workers)
 //	loads := worker.NewLoads(time.Now)
-//	for _, w := range set.Service("lookup") { fmt.Println(w.ID, loads.Of(w.ID).Busy()) }
+//	for _, w := range set.Service("lookup") {
+//		fmt.Println(w.ID, loads.GetOrCreate(w.Incarnation()).Busy())
+//	}
 package worker
 
 import (
@@ -27,89 +29,91 @@
 	"github.com/ryehill/ryehill/state/rollout"
 )
 
-// Worker is one start of one worker. A new start has a new id.
+// Worker is one process of an upstream, as described by its entry in the store.
 type Worker struct {
 	ID string
-	// Start tells the lives of a worker apart that starts again under its id: the Unix
-	// millisecond of its start, 0 if it does not say.
+	// Start is the start time of the process in Unix milliseconds, 0 if unknown. It
+	// distinguishes processes that run one after another under the same ID.
 	Start   uint64
 	Service string
 	Address string
 	Hall    string
 	Region  string
-	// Slots is how many requests it works on at a time.
+	// Slots is the number of requests it processes concurrently.
 	Slots int
-	// Leaving is set if it must get no new requests, but until Ending says so.
+	// Leaving is set if the worker is shutting down. It gets no new requests once
+	// DrainWindow has closed.
 	Leaving bool
-	// Ending says when this VM heard that the worker leaves. The zero value is a
-	// worker that gets nothing from the moment on in which it leaves.
+	// Ending is the time left for new requests while Leaving is set. The zero value leaves
+	// none.
 	Ending Ending
-	// ColdUntil is when it will be warm; the zero time is warm.
+	// ColdUntil is when the worker has warmed up; the zero time means it is warm.
 	ColdUntil time.Time
-	// Confirmed is when the store last had its entry, if that is missing since. The zero
-	// value is an entry that is there.
+	// Confirmed is when the store last contained the entry, if it has been missing since.
+	// It is zero while the entry exists.
 	Confirmed time.Time
-	// Revision is that of the store's entry.
+	// Revision is the revision of the store entry.
 	Revision uint64
-	// Version is that of its software, 0 if it is unknown.
+	// Version is the software version, 0 if unknown.
 	Version rollout.Version
-	// New is set while its version is being brought in; see Track.
+	// New is set while its version is being rolled out; see Track.
 	New bool
 
-	hash uint64
-	life string
+	hash        uint64
+	incarnation string
 }
 
-// Ending is the time that a worker has left of which it is known that it leaves, or
-// that its hall is closed.
+// Ending is the time during which a worker that is shutting down, or whose hall is being
+// closed, may still get requests.
 type Ending struct {
-	// Heard is when this VM heard of it.
+	// Heard is when this VM learned of the shutdown or closing.
 	Heard time.Time
-	// Until is up to when it may get requests.
+	// Until is the end of the window.
 	Until time.Time
 }
 
-// Open reports whether the worker may get requests still.
+// Open reports whether the worker may still get requests.
 func (e Ending) Open(now time.Time) bool { return now.Before(e.Until) }
 
-// Hash returns a hash of the id, by which keys are ranked. It is set by NewSet and
-// SetHash.
+// Hash returns a hash of the ID, which ranks workers for a key. NewSet and SetHash compute
+// it.
 func (w *Worker) Hash() uint64 { return w.hash }
 
-// SetHash sets what Hash returns.
-func (w *Worker) SetHash() { w.hash, w.life = xxhash.Sum64String(w.ID), lifeOf(w.ID, w.Start) }
+// SetHash computes the values that Hash and Incarnation return.
+func (w *Worker) SetHash() {
+	w.hash, w.incarnation = xxhash.Sum64String(w.ID), incarnationID(w.ID, w.Start)
+}
 
-// Life names this life of the worker. What is believed of a worker's process is kept by
-// it, and told to peers by it, so that nothing is believed of the next one.
+// Life returns an ID of the worker's current process. Observations of a process are stored
+// and sent to peers under this ID, so that they don't apply to its successor.
 func (w *Worker) Life() string {
-	if w.life == "" {
-		return lifeOf(w.ID, w.Start)
+	if w.incarnation == "" {
+		return incarnationID(w.ID, w.Start)
 	}
-	return w.life
+	return w.incarnation
 }
 
-// lifeOf joins an id and a start by a sign that no id has.
-func lifeOf(id string, start uint64) string {
+// incarnationID joins the ID and the start time with a character that doesn't occur in IDs.
+func incarnationID(id string, start uint64) string {
 	if start == 0 {
 		return id
 	}
 	return id + "@" + strconv.FormatUint(start, 36)
 }
 
-// Set holds workers by service. It is safe for concurrent use; the workers must not
-// be changed.
+// Set is an immutable set of workers, indexed by service. It is safe for concurrent use.
 type Set struct {
 	services map[string][]*Worker
-	// cohorts holds those of versions that are being brought in.
+	// cohorts holds the workers of versions that are being rolled out, by service.
 	cohorts map[string]cohort
 	byID    map[string]*Worker
-	// leaving are those that leave by the store's word.
+	// leaving holds the workers that are shutting down according to the store.
 	leaving []*Worker
-	// byLife holds those that say when they started.
-	byLife map[string]*Worker
+	// byIncarnation holds the workers with a known start time.
+	byIncarnation map[string]*Worker
 }
 
-// NewSet returns a set of copies.
+// NewSet returns a set of copies of the workers.
 func NewSet(workers []Worker) *Set {
 	list := make([]*Worker, 0, len(workers))
 	for _, w := range workers {
@@ -119,14 +123,14 @@
 	return SetOf(list)
 }
 
-// SetOf returns a set of workers whose hashes are set, and which must not be changed
-// from then on.
+// SetOf returns a set of the given workers without copying them. Their hashes must be set,
+// and they must not be modified afterwards.
 func SetOf(workers []*Worker) *Set {
-	s := &Set{services: make(map[string][]*Worker), byID: make(map[string]*Worker, len(workers)), byLife: make(map[string]*Worker)}
-	brought := make(map[string][]*Worker)
+	s := &Set{services: make(map[string][]*Worker), byID: make(map[string]*Worker, len(workers)), byIncarnation: make(map[string]*Worker)}
+	newVersion := make(map[string][]*Worker)
 	for _, w := range workers {
 		if w.New {
-			brought[w.Service] = append(brought[w.Service], w)
+			newVersion[w.Service] = append(newVersion[w.Service], w)
 		} else {
 			s.services[w.Service] = append(s.services[w.Service], w)
 		}
@@ -135,50 +139,50 @@
 			s.leaving = append(s.leaving, w)
 		}
 		if w.Start > 0 {
-			s.byLife[w.Life()] = w
+			s.byIncarnation[w.Life()] = w
 		}
 	}
-	byID := func(a, b *Worker) int { return cmp.Compare(a.ID, b.ID) }
+	compareIDs := func(a, b *Worker) int { return cmp.Compare(a.ID, b.ID) }
 	for _, list := range s.services {
-		if !slices.IsSortedFunc(list, byID) {
-			slices.SortFunc(list, byID)
+		if !slices.IsSortedFunc(list, compareIDs) {
+			slices.SortFunc(list, compareIDs)
 		}
 	}
-	s.cohorts = cohortsOf(brought)
+	s.cohorts = cohortsOf(newVersion)
 	return s
 }
 
-// Service returns the workers of a service in order of their ids, but for those of a
-// version that is being brought in. The slice and the workers must not be changed.
+// Service returns the workers of a service sorted by ID, without those of a version that is
+// being rolled out. The slice and the workers must not be modified.
 func (s *Set) Service(name string) []*Worker { return s.services[name] }
 
-// Get returns a worker by its id.
+// Get returns the worker with an ID.
 func (s *Set) Get(id string) (*Worker, bool) {
 	w, ok := s.byID[id]
 	return w, ok
 }
 
-// Life returns the worker that is there in a life of that name.
-func (s *Set) Life(life string) (*Worker, bool) {
-	if w, ok := s.byLife[life]; ok {
+// Life returns the worker whose current process has the given incarnation ID.
+func (s *Set) Life(id string) (*Worker, bool) {
+	if w, ok := s.byIncarnation[id]; ok {
 		return w, true
 	}
-	w, ok := s.byID[life]
+	w, ok := s.byID[id]
 	return w, ok && w.Start == 0
 }
 
-// Living reports whether a worker is there in a life of that name.
-func (s *Set) Living(life string) bool {
-	_, ok := s.Life(life)
+// Living reports whether a worker with the given incarnation ID exists.
+func (s *Set) Living(id string) bool {
+	_, ok := s.Life(id)
 	return ok
 }
 
-// Leaving returns the workers that leave by the store's word, in no order. The slice and
-// the workers must not be changed.
+// Leaving returns the workers that are shutting down according to the store, in no
+// particular order. The slice and the workers must not be modified.
 func (s *Set) Leaving() []*Worker { return s.leaving }
 
-// All returns all workers, in no order.
+// All returns all workers, in no particular order.
 func (s *Set) All() []*Worker { return slices.Collect(maps.Values(s.byID)) }
 
-// Len returns how many workers there are.
+// Len returns the number of workers.
 func (s *Set) Len() int { return len(s.byID) }
--- a/state/worker/worker_test.go
+++ b/state/worker/worker_test.go
@@ -19,16 +19,16 @@
 		clock := clockwork.NewFakeClock()
 		loads := worker.NewLoads(clock.Now)
 		load := loads.Of("w1")
-		Convey("counts own requests under way", func() {
+		Convey("counts this VM's requests in flight", func() {
 			load.Begin()
 			load.Begin()
 			load.End()
 			So(load.Busy(), ShouldEqual, 1)
 		})
-		Convey("adds what the worker told of others, which fades", func() {
+		Convey("adds the reported requests of other VMs, weighted by age", func() {
 			load.Begin()
 			load.Begin()
-			load.Told(4, 1) // One of this VM's two is still there, four are others'.
+			load.Told(4, 1) // One of this VM's two requests remains, four are from other VMs.
 			load.End()
 			So(load.Busy(), ShouldEqual, 5)
 			clock.Advance(time.Second)
@@ -36,7 +36,7 @@
 			clock.Advance(time.Second)
 			So(load.Busy(), ShouldEqual, 1)
 		})
-		Convey("pauses longer with each failure in a row, and ends with an answer", func() {
+		Convey("doubles the pause with each failure, and ends it on a response", func() {
 			load.Failed()
 			So(load.Paused(), ShouldBeTrue)
 			clock.Advance(500 * time.Millisecond)
@@ -47,7 +47,7 @@
 			load.Answered()
 			So(load.Paused(), ShouldBeFalse)
 		})
-		Convey("is forgotten only while nothing is under way", func() {
+		Convey("is pruned only without requests in flight", func() {
 			load.Begin()
 			loads.Keep(func(string) bool { return false })
 			So(loads.Of("w1"), ShouldEqual, load)
@@ -58,9 +58,8 @@
 	})
 }
 
-// A failure is told with the answers of some seconds before it, once; a worker
-// that has not failed is not told of.
-func TestOutcomesAreTakenOnce(t *testing.T) {
+// Failures must be reported once, together with recent successes only.
+func TestOutcomesAreDrainedOnce(t *testing.T) {
 	clock := clockwork.NewFakeClock()
 	loads := worker.NewLoads(clock.Now)
 	for range 10 {
@@ -74,13 +73,13 @@
 	loads.Of("old").Outcome(true)
 	loads.Of("new").Outcome(true)
 	loads.Of("new").Outcome(true)
-	taken := loads.TakeOutcomes(10)
+	drained := loads.TakeOutcomes(10)
 	want := map[string]worker.Outcomes{"old": {Answered: 0, Failed: 1}, "new": {Answered: 3, Failed: 2}}
-	if !maps.Equal(taken, want) {
-		t.Errorf("taken %v, want %v", taken, want)
+	if !maps.Equal(drained, want) {
+		t.Errorf("drained %v, want %v", drained, want)
 	}
 	if again := loads.TakeOutcomes(10); len(again) != 0 {
-		t.Errorf("taken again: %v", again)
+		t.Errorf("drained again: %v", again)
 	}
 	loads.Of("a").Outcome(true)
 	loads.Of("b").Outcome(true)
@@ -88,6 +87,6 @@
 		t.Errorf("%d workers, want 1", len(first))
 	}
 	if rest := loads.TakeOutcomes(1); len(rest) != 1 {
-		t.Errorf("%d workers are left, want 1", len(rest))
+		t.Errorf("%d workers remain, want 1", len(rest))
 	}
 }
