--- a/scripts/switch-off.sh
+++ b/scripts/switch-off.sh
@@ -55,7 +55,7 @@
 off most-spared coordination/placement/eligible.go 'if float64(len(spared)) > mostSpared' 'if false && float64(len(spared)) > mostSpared' ./coordination/placement TestSparedWorkers
 off time-over-is-no-failure transport/ingress/try.go 'return errors.Is(err, context.DeadlineExceeded) ||' 'return false && errors.Is(err, context.DeadlineExceeded) &&' ./transport/ingress TestOutcomesOfWorkers
 off soak-once coordination/retry/retry.go 'case !t.NotRun && !t.Repeatable:' 'case false:' ./platform 'TestSoak$'
-off soak-drain state/worker/standing.go 'ok && !leaving.Open(now) {' 'ok && false && !leaving.Open(now) {' ./platform 'TestSoak$'
+off soak-drain state/worker/availability.go 'ok && !leaving.Open(now) {' 'ok && false && !leaving.Open(now) {' ./platform 'TestSoak$'
 off soak-closed coordination/placement/handover.go '!closing.Open(now) {' 'false && !closing.Open(now) {' ./platform 'TestSoak$'
 off soak-stop internal/gateway/stop.go 'if err := g.front.Shutdown(ctx); err != nil {' 'if err := g.front.Close(); err != nil {' ./platform 'TestSoak$'
 off holders-stay coordination/balance/balance.go 'if ok && held.worker.Region == l.worker.Region {' 'if ok {' ./coordination/balance TestKeysStayInTheirRegion
