--- a/state/demand/demand.go
+++ b/state/demand/demand.go
@@ -28,8 +28,8 @@
 	Hash uint64
 }
 
-// Work is the number of responses of a service's workers and their total latency, including
-// the time spent waiting.
+// Work is the number of responses of a service's workers and their total latency,
+// including the time spent waiting.
 type Work struct {
 	Answers uint32
 	Time    time.Duration
--- a/state/holders/holders.go
+++ b/state/holders/holders.go
@@ -152,8 +152,8 @@
 	}
 }
 
-// Since returns the delta for a follower at the given epoch and version. It is empty if the
-// follower has the same or a newer version of the same epoch.
+// Since returns the delta for a follower at the given epoch and version. It is empty
+// if the follower has the same or a newer version of the same epoch.
 func (t *Table) Since(epoch, version uint64) Delta {
 	c := t.current.Load()
 	d := Delta{Epoch: c.epoch, Since: version, At: c.version, Holders: make(Change)}
--- a/state/load/load.go
+++ b/state/load/load.go
@@ -230,8 +230,8 @@
 	return slices.Collect(maps.Keys(m.services))
 }
 
-// Fill sets the rates of a service in s. Busy is the average number of requests in flight
-// that came from this VM's callers, wherever they ran.
+// Fill sets the rates of a service in s. Busy is the average number of requests in
+// flight that came from this VM's callers, wherever they ran.
 func (m *Meter) Fill(service string, s *ServiceStatus) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/state/worker/availability.go
+++ b/state/worker/availability.go
@@ -5,8 +5,8 @@
 
 import "time"
 
-// Standing says whether this VM may send a new request to a worker now, and if not, why and
-// until when. All selections of a worker go through it, so that none ignores a known
+// Standing says whether this VM may send a new request to a worker now, and if not, why
+// and until when. All selections of a worker go through it, so that none ignores a known
 // restriction.
 type Standing interface{ isAvailability() }
 
@@ -29,8 +29,8 @@
 // Limited is a worker that accepts a limited rate from all VMs together. Each request to it
 // needs a permit.
 type Limited struct {
-	// PerS is the rate in requests per second, From the source of the limit, and Since when
-	// this VM first learned of a limit.
+	// PerS is the rate in requests per second, From the source of the limit, and Since
+	// when this VM first learned of a limit.
 	PerS  float64
 	From  string
 	Since time.Time
@@ -110,8 +110,8 @@
 // maxSharedSignals bounds the workers in one message of signals to 8 KB.
 const maxSharedSignals = 256
 
-// Told holds the signals of one worker that VMs share. The zero value of a field means no
-// signal.
+// Told holds the signals of one worker that VMs share. The zero value of a field
+// means no signal.
 type Told struct {
 	// Leaving is set if the worker is shutting down, as reported by itself or another VM.
 	Leaving Leaving
--- a/state/worker/loads.go
+++ b/state/worker/loads.go
@@ -146,8 +146,8 @@
 	return l.inFlight
 }
 
-// Told records the worker's report of its running and waiting requests. It must be called
-// before End of the request whose response carried the report.
+// Told records the worker's report of its running and waiting requests. It must be
+// called before End of the request whose response carried the report.
 func (l *Load) Told(running, waiting int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -207,16 +207,16 @@
 	maxUnconfirmedCold = 30 * time.Second
 )
 
-// Refused records that the worker's port refused a connection, which means that its process
-// has exited.
+// Refused records that the worker's port refused a connection, which means
+// that its process has exited.
 func (l *Load) Refused() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.refusedAt = l.now()
 }
 
-// Ended records that the worker closed all connections that were checked. Its process may
-// have exited.
+// Ended records that the worker closed all connections that were
+// checked. Its process may have exited.
 func (l *Load) Ended() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -225,8 +225,8 @@
 	l.constrained.add(l)
 }
 
-// HungUp records that the worker closed one connection during a request. Its process may
-// have exited, or only a response was lost.
+// HungUp records that the worker closed one connection during a request.
+// Its process may have exited, or only a response was lost.
 func (l *Load) HungUp() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -248,9 +248,9 @@
 
 // MayBeCold reports whether the worker may be a process that has just started although the
 // entry describes its predecessor. storeConfirmed is when the store last confirmed the
-// known entries, coldStart how long a worker is cold after its start. Until the store can reflect a
-// restart, only the connections reveal it. The cold time counts from the first response after
-// the exit at any VM, since the port is closed for a while first.
+// known entries, coldStart how long a worker is cold after its start. Until the store can
+// reflect a restart, only the connections reveal it. The cold time counts from the first
+// response after the exit at any VM, since the port is closed for a while first.
 func (l *Load) MayBeCold(storeConfirmed time.Time, coldStart time.Duration) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/state/worker/outcomes.go
+++ b/state/worker/outcomes.go
@@ -46,9 +46,9 @@
 	l.outcomes.succeededAt = now
 }
 
-// Gone records that the worker's address now belongs to another worker, which means that
-// its process has exited. It pauses the worker and counts addressReuseFailures, so that
-// other VMs eject it without trying it.
+// Gone records that the worker's address now belongs to another worker, which
+// means that its process has exited. It pauses the worker and counts addressReuseFailures,
+// so that other VMs eject it without trying it.
 func (l *Load) Gone() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/state/worker/ratelimit.go
+++ b/state/worker/ratelimit.go
@@ -24,10 +24,11 @@
 
 // RateLimit is the rate that a worker accepts from all VMs together, as named in a response.
 type RateLimit struct {
-	// PerS is the rate in requests per second, math.Inf(1) if the response names no limit.
+	// PerS is the rate in requests per second, math.Inf(1) if the response names no
+	// limit.
 	PerS float64
-	// The response was created between Sent, when its request was sent, and Heard, when it
-	// arrived.
+	// The response was created between Sent, when its request was sent, and Heard,
+	// when it arrived.
 	Sent, Heard time.Time
 	// From is FromResponse or the VM that relayed the limit.
 	From string
--- a/state/worker/reports.go
+++ b/state/worker/reports.go
@@ -25,15 +25,16 @@
 	Age time.Duration
 }
 
-// Heard merges a load report that the worker sent to another VM, unless the known one is as
-// new.
+// Heard merges a load report that the worker sent to another VM, unless the known one
+// is as new.
 func (l *Load) Heard(r Word) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.mergeReport(r)
 }
 
-// PassOn merges a load report like MergeReport, and includes it in the next DrainReports.
+// PassOn merges a load report like MergeReport, and includes it in the next
+// DrainReports.
 func (l *Load) PassOn(r Word) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/state/worker/signal.go
+++ b/state/worker/signal.go
@@ -52,22 +52,23 @@
 // Rest says that the worker wants no requests from this VM for a time.
 type Rest struct{ For time.Duration }
 
-// Ended says that the worker's process seemed to have exited at a time, as seen by another
-// VM: all checked connections to it were closed, or its port refused connections.
+// Ended says that the worker's process seemed to have exited at a time, as seen by
+// another VM: all checked connections to it were closed, or its port refused connections.
 type Ended struct {
 	At time.Time
 	// Returned is when a VM first received a response after the exit, zero if none did.
 	Returned time.Time
-	// Lived is a time during which the process is known not to have exited although it had
-	// seemed to, zero if there is none.
+	// Lived is a time during which the process is known not to have exited although
+	// it had seemed to, zero if there is none.
 	Lived Span
 	// Doubtful is set if the only evidence is one closed connection, which may have failed
 	// alone.
 	Doubtful bool
 }
 
-// Unsettled reports whether the store, which last confirmed the known entries at the given
-// time, may not have reflected the exit yet. It ignores an uncertain exit unless the store is silent.
+// Unsettled reports whether the store, which last confirmed the known entries at the
+// given time, may not have reflected the exit yet. It ignores an uncertain exit unless the
+// store is silent.
 func (e Ended) Unsettled(confirmed, now time.Time) bool {
 	if e.Doubtful && now.Sub(confirmed) <= storeSilentAfter {
 		return false
--- a/state/worker/worker.go
+++ b/state/worker/worker.go
@@ -44,8 +44,8 @@
 	// Leaving is set if the worker is shutting down. It gets no new requests once
 	// DrainWindow has closed.
 	Leaving bool
-	// Ending is the time left for new requests while Leaving is set. The zero value leaves
-	// none.
+	// Ending is the time left for new requests while Leaving is set. The zero value
+	// leaves none.
 	Ending Ending
 	// ColdUntil is when the worker has warmed up; the zero time means it is warm.
 	ColdUntil time.Time
@@ -84,8 +84,8 @@
 	w.hash, w.incarnation = xxhash.Sum64String(w.ID), incarnationID(w.ID, w.Start)
 }
 
-// Life returns an ID of the worker's current process. Observations of a process are stored
-// and sent to peers under this ID, so that they don't apply to its successor.
+// Life returns an ID of the worker's current process. Observations of a process are
+// stored and sent to peers under this ID, so that they don't apply to its successor.
 func (w *Worker) Life() string {
 	if w.incarnation == "" {
 		return incarnationID(w.ID, w.Start)
