--- a/scripts/switch-off.sh
+++ b/scripts/switch-off.sh
@@ -55,7 +55,7 @@
 off most-spared coordination/placement/eligible.go 'if float64(len(spared)) > maxSparedShare' 'if false && float64(len(spared)) > maxSparedShare' ./coordination/placement TestSparedWorkers
 off time-over-is-no-failure transport/ingress/try.go 'return errors.Is(err, context.DeadlineExceeded) ||' 'return false && errors.Is(err, context.DeadlineExceeded) &&' ./transport/ingress TestOutcomesOfWorkers
 off soak-once coordination/retry/retry.go 'case !a.NotRun && !a.Idempotent:' 'case false:' ./platform 'TestSoak$'
-off soak-drain state/worker/standing.go 'ok && !leaving.Open(now) {' 'ok && false && !leaving.Open(now) {' ./platform 'TestSoak$'
+off soak-drain state/worker/availability.go 'ok && !leaving.Open(now) {' 'ok && false && !leaving.Open(now) {' ./platform 'TestSoak$'
 off soak-closed coordination/placement/handover.go '!closing.Open(now) {' 'false && !closing.Open(now) {' ./platform 'TestSoak$'
 off soak-stop internal/gateway/stop.go 'if err := g.front.Shutdown(ctx); err != nil {' 'if err := g.front.Close(); err != nil {' ./platform 'TestSoak$'
 off holders-stay coordination/balance/balance.go 'if ok && holder.worker.Region == l.worker.Region {' 'if ok {' ./coordination/balance TestKeysStayInTheirRegion
@@ -120,7 +120,7 @@
 off tree-depth internal/gateway/teller.go 'ask.GetHoldMillis() > 0 && ask.GetDepth() <= 1' 'ask.GetHoldMillis() > 0' ./internal/gateway 'TestDeepTree$'
 off turns-at-the-start internal/gateway/start.go 'min(time.Duration(rank)*listTurn, lastTurn)' 'min(0*time.Duration(rank), lastTurn)' ./internal/gateway TestAllVMsReturn
 off packed-is-news internal/gateway/teller.go '|| len(d.GetPacked()) > 0' '' ./internal/gateway TestLargeDeltas
-off ended-workers-told transport/ingress/try.go 'c.Load().Gone()' '' ./internal/gateway TestVMsHearThat
+off ended-workers-told transport/ingress/try.go 'c.Load().MarkAddressReused()' '' ./internal/gateway TestVMsHearThat
 off keys-handed-over coordination/placement/handover.go 'rand.Float64() < max(' 'rand.Float64() < 1+max(' ./coordination/placement TestKeysAreHandedOver
 off gate-of-all-kinds internal/gateway/gate.go 'if g.failures == 0 {' 'if g.failures >= 0 {' ./internal/gateway TestCallsToAStore
 off no-copies-for-a-region state/object/replica.go 'd.Listed, d.Listing = true, k.listing()
@@ -175,20 +175,20 @@
 off limit-one-issuer internal/gateway/permits.go '!found || vm != p.gateway.cfg.VM {' '!found || vm == "" {' ./internal/gateway TestOnlyTheIssuerHandsOut
 off limit-isolated coordination/ratelimit/issuer.go 'if 2*d.LiveVMs < d.ListedVMs {' 'if false {' ./coordination/ratelimit TestIssuersStayWithinTheLimit
 off limit-told internal/gateway/signals.go 'message := toldLimit(now, signals.RateLimit)' 'message := &peerpb.WorkerSignals{}' ./platform 'TestSessions/limits'
-off limit-tighter-first state/worker/ratelimit.go 'case held.Named() && r.PerS > held.PerS && !r.certain().After(held.Heard):' 'case false:' ./state/worker TestOvertakenLimits
-off limit-success-ends transport/ingress/signals.go 'case limit.Named() || status < http.StatusMultipleChoices:' 'default:' ./transport/ingress TestLimitsAreHeard
+off limit-tighter-first state/worker/ratelimit.go 'case previous.Finite() && r.PerSecond > previous.PerSecond && !r.earliestCreation().After(previous.ReceivedAt):' 'case false:' ./state/worker TestOutOfOrderRateLimits
+off limit-success-ends transport/ingress/signals.go 'case limit.Finite() || status < http.StatusMultipleChoices:' 'default:' ./transport/ingress TestLimitsAreHeard
 off limit-spills-over coordination/placement/placement.go 'if refusal == RefusalLimited {' 'if false {' ./coordination/placement TestRateLimitsAreEnforced
 off limit-urgent-first coordination/ratelimit/issuer.go 'reserve := priorityReserve * float64(' 'reserve := 0 * float64(' ./coordination/ratelimit TestIssuerServesUrgent
 off soak-limit internal/gateway/gateway.go 'Demand: g.balancer.meter, Permits: g.permits,' 'Demand: g.balancer.meter,' ./platform 'TestSoak$/seed_21004'
 off lapsed-tells-of-no-end coordination/placement/placement.go 'if !w.Confirmed.IsZero() {' 'if false {' ./internal/gateway TestLapsedEntryTells
 off ends-heeded-at-once state/worker/loads.go 'return confirmed.Before(started) ||' 'return' ./internal/gateway TestWorkerThatReturnsAs
 off ended-told internal/gateway/signals.go 'signals.Ended; silent &&' 'signals.Ended; false && silent &&' ./internal/gateway TestVMsTellEachOtherWhoHasEnded
-off word-outlives-entry state/worker/signal.go 'now.Sub(s.leaving.Heard) < leavingKept)' 'false)' ./state/worker TestWordOutlives
-off earliest-word-binds state/worker/signal.go 'first || s.Until.Before(l.signals.leaving.Until)' 'true' ./state/worker TestEarliestWord
-off rest-to-its-end state/worker/signal.go 'end.After(s.restEnd) {' 'true || end.After(s.restEnd) {' ./state/worker TestEachRest
-off return-ramp state/worker/signal.go 's.allowance = 1' 's.allowance = 0' ./state/worker TestReturnAfterARest
-off cold-from-return state/worker/loads.go 'if l.returned.After(started) {' 'if false {' ./state/worker TestPortThatWasClosed
-off ends-outlived state/worker/loads.go 'if l.ended.IsZero() || !s.holds(l.ended) {' 'if true {' ./state/worker TestEndThatAWorker
+off word-outlives-entry state/worker/signal.go 'now.Sub(s.leaving.ObservedAt) < leavingRetention)' 'false)' ./state/worker TestLeavingOutlives
+off earliest-word-binds state/worker/signal.go 'first || s.Until.Before(l.signals.leaving.Until)' 'true' ./state/worker TestEarliestLeaving
+off rest-to-its-end state/worker/signal.go 'end.After(s.restEnd) {' 'true || end.After(s.restEnd) {' ./state/worker TestRestIsNotShortened
+off return-ramp state/worker/signal.go 's.allowance = 1' 's.allowance = 0' ./state/worker TestRampAfterRest
+off cold-from-return state/worker/loads.go 'if l.respondedAt.After(started) {' 'if false {' ./state/worker TestColdAfterClosedPort
+off ends-outlived state/worker/loads.go 'if l.exitedAt.IsZero() || !s.contains(l.exitedAt) {' 'if true {' ./state/worker TestOutlivedExit
 off rest-moves-few coordination/placement/placement.go 'if r.displaced {' 'if false && r.displaced {' ./internal/experiment TestRestsKept
 off rest-keeps-regions coordination/placement/placement.go 'p.chooseDestination(s, r, workers.availableOrResting())' 'p.chooseDestination(s, r, workers.available)' ./coordination/placement TestRestMovesOnly
 off clock-sleeps internal/clock/clock.go 's.slept = slept' '' ./internal/clock TestSuspensionsCount
--- /dev/null
+++ b/state/worker/availability.go
@@ -0,0 +1,158 @@
+// Copyright 2026 The ryehill Authors
+// SPDX-License-Identifier: Apache-2.0
+
+package worker
+
+import "time"
+
+// Standing says whether this VM may send a new request to a worker now, and if not, why
+// and until when. All selections of a worker go through it, so that none ignores a known
+// restriction.
+type Standing interface{ isAvailability() }
+
+// Ready is a worker that may get requests.
+type Ready struct{}
+
+// Left is a worker that is shutting down and whose time for new requests has passed.
+type Left struct{ Leaving }
+
+// Resting is a worker that asked this VM for a pause.
+type Resting struct{ Until time.Time }
+
+// Paused is a worker that failed just now. It is used only if no other worker is left.
+type Paused struct{ Until time.Time }
+
+// Spared is a worker with a high failure rate. It still gets requests if too many workers
+// are ejected.
+type Spared struct{ Until time.Time }
+
+// Limited is a worker that accepts a limited rate from all VMs together. Each request to it
+// needs a permit.
+type Limited struct {
+	// PerS is the rate in requests per second, From the source of the limit, and Since
+	// when this VM first learned of a limit.
+	PerS  float64
+	From  string
+	Since time.Time
+}
+
+func (Ready) isAvailability()   {}
+func (Left) isAvailability()    {}
+func (Resting) isAvailability() {}
+func (Paused) isAvailability()  {}
+func (Spared) isAvailability()  {}
+func (Limited) isAvailability() {}
+
+// Standings returns the availability of many workers from one snapshot.
+type Standings struct{ constrained map[string]*Load }
+
+// Standings returns a snapshot for checking many workers.
+func (l *Loads) Standings() Standings { return Standings{l.Limited()} }
+
+// Standing returns the availability of a worker at a time.
+func (l *Loads) Standing(w *Worker, now time.Time) Standing { return l.Standings().Of(w, now) }
+
+// Of returns the availability of a worker at a time. Most workers have no restriction, and
+// for these it takes no lock.
+func (s Standings) Of(w *Worker, now time.Time) Standing {
+	load, constrained := s.constrained[w.Life()]
+	if !constrained && !w.Leaving {
+		return Ready{}
+	}
+	if leaving, ok := earliestLeaving(w, load); ok && !leaving.Open(now) {
+		return Left{leaving}
+	}
+	if !constrained {
+		return Ready{}
+	}
+	return load.availability(now)
+}
+
+func (l *Load) availability(now time.Time) Standing {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	if until, ok := l.signals.restUntil(l.inFlight, now); ok {
+		return Resting{until}
+	}
+	switch {
+	case now.Before(l.pausedUntil):
+		return Paused{l.pausedUntil}
+	case now.Before(l.ejectedUntil):
+		return Spared{l.ejectedUntil}
+	}
+	rate := &l.signals.rate
+	if perSecond, limited := rate.rate(now); limited {
+		return Limited{PerS: perSecond, From: rate.last.From, Since: rate.limitedSince}
+	}
+	return Ready{}
+}
+
+// Leaving returns the earliest known deadline of a worker that is shutting down, as
+// reported by the worker, another VM or the store. The result is false if the worker isn't
+// shutting down.
+func (l *Loads) Leaving(w *Worker) (Leaving, bool) { return earliestLeaving(w, l.Limited()[w.Life()]) }
+
+// earliestLeaving implements Leaving. The load may be nil.
+func earliestLeaving(w *Worker, load *Load) (Leaving, bool) {
+	stored := Leaving{Ending: w.Ending, From: FromStore}
+	if load == nil {
+		return stored, w.Leaving
+	}
+	load.mu.Lock()
+	defer load.mu.Unlock()
+	signaled := load.signals.leaving
+	if load.signals.isLeaving() && (!w.Leaving || signaled.Until.Before(stored.Until)) {
+		return signaled, true
+	}
+	return stored, w.Leaving
+}
+
+// maxSharedSignals bounds the workers in one message of signals to 8 KB.
+const maxSharedSignals = 256
+
+// Told holds the signals of one worker that VMs share. The zero value of a field
+// means no signal.
+type Told struct {
+	// Leaving is set if the worker is shutting down, as reported by itself or another VM.
+	Leaving Leaving
+	// Ended is when its process seemed to have exited.
+	Ended Ended
+	// RateLimit is the last limit that the worker named, or the end of it.
+	RateLimit RateLimit
+}
+
+// Told returns the signals to share with other VMs, by incarnation ID.
+func (l *Loads) Told() map[string]Told {
+	var shared map[string]Told
+	for id, load := range l.Limited() {
+		s, found := load.sharedSignals()
+		if !found || len(shared) >= maxSharedSignals {
+			continue
+		}
+		if shared == nil {
+			shared = make(map[string]Told)
+		}
+		shared[id] = s
+	}
+	return shared
+}
+
+func (l *Load) sharedSignals() (shared Told, found bool) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	shared.Leaving = l.signals.leaving
+	if last := l.lastExit(); l.now().Sub(last) < maxUnconfirmedCold {
+		shared.Ended.At, shared.Ended.Doubtful = last, l.uncertain
+		if l.respondedAt.After(last) {
+			shared.Ended.Returned = l.respondedAt
+		}
+	}
+	if l.now().Sub(l.noExitDuring.To) < maxUnconfirmedCold {
+		shared.Ended.Lived = l.noExitDuring
+	}
+	hasLimit := l.signals.rate.shared(l.now())
+	if hasLimit {
+		shared.RateLimit = l.signals.rate.last
+	}
+	return shared, hasLimit || l.signals.isLeaving() || shared.Ended != Ended{}
+}
--- /dev/null
+++ b/state/worker/exit_test.go
@@ -0,0 +1,82 @@
+// Copyright 2026 The ryehill Authors
+// SPDX-License-Identifier: Apache-2.0
+
+package worker_test
+
+import (
+	"testing"
+	"time"
+
+	"github.com/jonboulle/clockwork"
+
+	"github.com/ryehill/ryehill/state/worker"
+)
+
+// Connections lost while the store is silent must not make live workers count as cold.
+func TestOutlivedExitIsRetracted(t *testing.T) {
+	const coldStart, storeSilence = 5 * time.Second, 10 * time.Second
+	cases := map[string]struct {
+		// Times relative to the exit: when the connection was opened and when the response
+		// arrived.
+		opened, responded time.Duration
+		cold              bool
+	}{
+		"older connection":               {-time.Second, 400 * time.Millisecond, false},
+		"opened after the exit":          {100 * time.Millisecond, 400 * time.Millisecond, true},
+		"response in flight at the exit": {-time.Second, 50 * time.Millisecond, true},
+		"opened just before the exit":    {-50 * time.Millisecond, 400 * time.Millisecond, true},
+		"much older connection":          {-20 * time.Second, 2 * time.Second, false},
+	}
+	for name, c := range cases {
+		t.Run(name, func(t *testing.T) {
+			clock := clockwork.NewFakeClock()
+			clock.Advance(storeSilence)
+			exitedAt, loads, peers := clock.Now(), worker.NewLoads(clock.Now), worker.NewLoads(clock.Now)
+			l, peer := loads.Of("w"), peers.Of("w")
+			l.Ended()
+			peer.Hear(worker.Ended{At: exitedAt})
+			clock.Advance(c.responded)
+			l.Proved(exitedAt.Add(c.opened))
+			l.Hear(worker.Ended{At: exitedAt.Add(5 * time.Millisecond)}) // A late notice from another VM.
+			if got := l.MayBeCold(exitedAt.Add(-storeSilence), coldStart); got != c.cold {
+				t.Errorf("MayBeCold is %t", got)
+			}
+			peer.Hear(loads.Told()["w"].Ended)
+			if got := peer.MayBeCold(exitedAt.Add(-storeSilence), coldStart); got != c.cold {
+				t.Errorf("MayBeCold is %t at a VM that got the signal", got)
+			}
+			clock.Advance(time.Second)
+			l.Ended()
+			if !l.MayBeCold(exitedAt.Add(-storeSilence), coldStart) {
+				t.Error("a later exit is ignored")
+			}
+		})
+	}
+}
+
+// A late notice of an earlier exit must not make its cold successor count as warm.
+func TestLateExitNotice(t *testing.T) {
+	const coldStart = 5 * time.Second
+	clock := clockwork.NewFakeClock()
+	clock.Advance(time.Minute)
+	loads, peers, confirmed := worker.NewLoads(clock.Now), worker.NewLoads(clock.Now), clock.Now().Add(-10*time.Second)
+	l, peer := loads.Of("w"), peers.Of("w")
+	l.Ended()
+	peer.Hear(worker.Ended{At: clock.Now()})
+	clock.Advance(500 * time.Millisecond)
+	opened := clock.Now()
+	l.Answered()
+	l.Proved(opened)
+	clock.Advance(time.Second)
+	l.Ended() // Connections to the previous process.
+	clock.Advance(time.Second)
+	l.Proved(opened)
+	peer.Hear(loads.Told()["w"].Ended)
+	if !l.MayBeCold(confirmed, coldStart) || !peer.MayBeCold(confirmed, coldStart) {
+		t.Error("warm 2 s after its start")
+	}
+	clock.Advance(coldStart)
+	if l.MayBeCold(confirmed, coldStart) {
+		t.Error("cold 7 s after its start")
+	}
+}
--- /dev/null
+++ b/state/worker/incarnation_test.go
@@ -0,0 +1,88 @@
+// Copyright 2026 The ryehill Authors
+// SPDX-License-Identifier: Apache-2.0
+
+package worker_test
+
+import (
+	"testing"
+	"time"
+
+	"github.com/jonboulle/clockwork"
+	. "github.com/smartystreets/goconvey/convey"
+
+	"github.com/ryehill/ryehill/state/worker"
+)
+
+func TestIncarnations(t *testing.T) {
+	Convey("Successive processes of a worker have different incarnation IDs", t, func() {
+		first, second, unknown := worker.Worker{ID: "w", Start: 1}, worker.Worker{ID: "w", Start: 2}, worker.Worker{ID: "w"}
+		So(first.Life(), ShouldNotEqual, second.Life())
+		So(unknown.Life(), ShouldEqual, "w")
+		Convey("and a set has only the current one", func() {
+			set := worker.NewSet([]worker.Worker{second})
+			So(set.Living(second.Life()), ShouldBeTrue)
+			So(set.Living(first.Life()), ShouldBeFalse)
+			So(set.Living("w"), ShouldBeFalse)
+			So(worker.NewSet([]worker.Worker{unknown}).Living("w"), ShouldBeTrue)
+		})
+	})
+}
+
+// A worker that restarts behind a stale store entry must not count as warm.
+func TestColdAfterClosedPort(t *testing.T) {
+	const coldStart, observed = 8 * time.Second, 12 * time.Second
+	cases := map[string]struct {
+		event func(l *worker.Load)
+		// storeConfirms is set if the store keeps confirming its data.
+		storeConfirms bool
+		// The worker counts as cold from coldFrom on for coldFor.
+		coldFrom, coldFor time.Duration
+		// respondsAt is the time of the first response from a VM, 0 for none.
+		respondsAt time.Duration
+		// confirmationAge is the age of the store's data at the event.
+		confirmationAge time.Duration
+	}{
+		"refused":                        {(*worker.Load).Refused, true, 0, 3 * time.Second, 0, 0},
+		"refused, store silent":          {(*worker.Load).Refused, false, 0, observed, 0, 0},
+		"refused, response after 2 s":    {(*worker.Load).Refused, false, 0, coldStart + 2*time.Second, 2 * time.Second, 0},
+		"closed":                         {(*worker.Load).Ended, true, 0, 0, 0, 0},
+		"closed, store silent":           {(*worker.Load).Ended, false, 2500 * time.Millisecond, observed, 0, 0},
+		"closed, response after 1 s":     {(*worker.Load).Ended, false, time.Second, coldStart, time.Second, 0},
+		"closed, store silent for 0.3 s": {(*worker.Load).Ended, false, 0, observed, 0, 300 * time.Millisecond},
+		"closed, response after 0.5 s":   {(*worker.Load).Ended, false, 0, coldStart + 500*time.Millisecond, 500 * time.Millisecond, 300 * time.Millisecond},
+		"closed, store confirms":         {(*worker.Load).Ended, true, 0, 0, 0, 300 * time.Millisecond},
+		"one closed, store silent":       {(*worker.Load).HungUp, false, 2 * time.Second, observed, 0, 300 * time.Millisecond},
+		"one closed, store confirms":     {(*worker.Load).HungUp, true, 0, 0, 0, 300 * time.Millisecond},
+		"one closed, then all":           {func(l *worker.Load) { l.HungUp(); l.Ended() }, false, 0, observed, 0, 300 * time.Millisecond},
+		"no event, store silent":         {func(*worker.Load) {}, false, 0, 0, 0, 0},
+		"refused, then closed":           {func(l *worker.Load) { l.Refused(); l.Ended() }, true, 0, 3 * time.Second, 0, 0},
+	}
+	for name, c := range cases {
+		t.Run(name, func(t *testing.T) {
+			const step = 500 * time.Millisecond
+			clock := clockwork.NewFakeClock()
+			loads := worker.NewLoads(clock.Now)
+			l, start := loads.Of("w"), clock.Now()
+			l.Failed()
+			c.event(l)
+			for at := time.Duration(0); at < observed; at += step {
+				if c.respondsAt > 0 && at >= c.respondsAt {
+					l.Answered()
+				}
+				loads.Keep(func(string) bool { return true })
+				confirmed := start.Add(-c.confirmationAge)
+				if c.storeConfirms {
+					confirmed = clock.Now()
+				}
+				want := at >= c.coldFrom && at < c.coldFrom+c.coldFor
+				if _, kept := loads.Limited()["w"]; want && !kept {
+					t.Fatalf("the load was pruned after %s", at)
+				}
+				if l.MayBeCold(confirmed, coldStart) != want {
+					t.Fatalf("after %s MayBeCold is %t", at, !want)
+				}
+				clock.Advance(step)
+			}
+		})
+	}
+}
