--- a/coordination/balance/balance.go
+++ b/coordination/balance/balance.go
@@ -102,9 +102,9 @@
 	for key, n := range r.Keys {
 		addToSum(b.keys, key, float64(n), decayTime, now)
 	}
-	for service, w := range r.Work {
-		addToSum(b.answers, service, float64(w.Answers), workDecayTime, now)
-		addToSum(b.totalTime, service, w.Time.Seconds(), workDecayTime, now)
+	for service, w := range r.Latencies {
+		addToSum(b.answers, service, float64(w.Responses), workDecayTime, now)
+		addToSum(b.totalTime, service, w.Total.Seconds(), workDecayTime, now)
 	}
 }
 
@@ -132,13 +132,13 @@
 			}
 		}
 	}
-	b.cfg.Table.Change(change)
+	b.cfg.Table.Apply(change)
 	return moved
 }
 
 // dropIdleKeys removes the keys that had no requests for idleKeyTTL.
-func (b *Balancer) dropIdleKeys(now time.Time) holders.Change {
-	removed := make(holders.Change)
+func (b *Balancer) dropIdleKeys(now time.Time) holders.Changes {
+	removed := make(holders.Changes)
 	for key, c := range b.keys {
 		if now.Sub(c.updatedAt) <= idleKeyTTL {
 			continue
@@ -155,7 +155,7 @@
 
 // currentAssignment returns the assignment of a service's keys to workers. It reverts
 // moves to workers that are gone, or to another region than the one in which the key runs.
-func (b *Balancer) currentAssignment(f Fleet, service string, keys []keyLoad, change holders.Change) *assignment {
+func (b *Balancer) currentAssignment(f Fleet, service string, keys []keyLoad, change holders.Changes) *assignment {
 	s := &assignment{loads: make(map[string]*workerLoad)}
 	for _, w := range f.Workers[service] {
 		s.loads[w.ID] = &workerLoad{worker: w}
--- a/coordination/balance/balance_test.go
+++ b/coordination/balance/balance_test.go
@@ -65,7 +65,7 @@
 		for key, rate := range f.rates {
 			r.Keys[key] = uint32(rate / 2)
 		}
-		r.Work[service] = demand.Work{Answers: 100, Time: 100 * perAnswer}
+		r.Latencies[service] = demand.Latency{Responses: 100, Total: 100 * perAnswer}
 		f.balancer.AddReport(r)
 		moved += f.balancer.Rebalance(balance.Fleet{
 			Workers:   map[string][]balance.Worker{service: f.workers},
--- a/coordination/balance/spread.go
+++ b/coordination/balance/spread.go
@@ -55,7 +55,7 @@
 
 // relieveOverloaded moves keys away from overloaded workers, the busiest worker first, and
 // returns how many it moved.
-func (s *assignment) relieveOverloaded(change holders.Change) int {
+func (s *assignment) relieveOverloaded(change holders.Changes) int {
 	keys := 0
 	for _, l := range s.loads {
 		keys += len(l.keys)
@@ -77,7 +77,7 @@
 
 // fillEmptyWorkers moves to each worker without keys the busiest key of the most utilized
 // worker of its region. It returns how many keys it moved.
-func (s *assignment) fillEmptyWorkers(change holders.Change) int {
+func (s *assignment) fillEmptyWorkers(change holders.Changes) int {
 	moved := 0
 	for _, to := range s.byUtilization() {
 		if to.worker.Full || len(to.keys) > 0 {
@@ -115,7 +115,7 @@
 
 // retainHolders keeps keys at their previous holders when hashing reassigns them to a
 // worker that has joined, which would be slow with them. Overloaded workers give them up.
-func (s *assignment) retainHolders(lastHolders map[holders.Key]string, change holders.Change) {
+func (s *assignment) retainHolders(lastHolders map[holders.Key]string, change holders.Changes) {
 	for _, l := range s.byUtilization() {
 		for at := len(l.keys) - 1; at >= 0; at-- {
 			k := l.keys[at]
--- a/coordination/outlier/outlier.go
+++ b/coordination/outlier/outlier.go
@@ -90,7 +90,7 @@
 
 func (s *workerStats) add(o worker.Outcomes, now time.Time) {
 	decay := math.Exp(-now.Sub(s.updatedAt).Seconds() / decayTime.Seconds())
-	s.answered = s.answered*decay + float64(o.Answered)
+	s.answered = s.answered*decay + float64(o.Succeeded)
 	s.failed = s.failed*decay + float64(o.Failed)
 	s.updatedAt = now
 	if s.failed < minFailures || s.failed < minFailureRatio*(s.answered+s.failed) || now.Before(s.ejectedUntil) {
--- a/coordination/outlier/outlier_test.go
+++ b/coordination/outlier/outlier_test.go
@@ -27,7 +27,7 @@
 			ejected++
 			continue
 		}
-		o := worker.Outcomes{Answered: 1}
+		o := worker.Outcomes{Succeeded: 1}
 		if random.Float64() < failing {
 			o = worker.Outcomes{Failed: 1}
 		}
@@ -78,7 +78,7 @@
 	detector := outlier.New(outlier.Config{Now: clock.Now})
 	for range 6 {
 		alone := outlier.New(outlier.Config{Now: clock.Now})
-		seen := map[string]worker.Outcomes{"w": {Answered: 1, Failed: 1}}
+		seen := map[string]worker.Outcomes{"w": {Succeeded: 1, Failed: 1}}
 		alone.AddOutcomes(seen)
 		detector.AddOutcomes(seen)
 		if len(alone.Ejected()) > 0 {
--- a/coordination/placement/eligible.go
+++ b/coordination/placement/eligible.go
@@ -78,19 +78,19 @@
 	all := s.Workers.Track(r.Service, r.Track)
 	e := eligible{available: make([]*worker.Worker, 0, len(all)), now: p.cfg.Now()}
 	var paused, spared []*worker.Worker
-	standings := p.cfg.Loads.Standings()
+	standings := p.cfg.Loads.AvailabilityView()
 	for _, w := range all {
 		if slices.Contains(r.Tried, w.ID) || r.Allows != nil && !r.Allows(w.Region) || s.drained(r.Service, w.Hall) {
 			continue
 		}
 		switch standing := s.standing(standings, w, e.now).(type) {
-		case worker.Left:
+		case worker.Departed:
 			e.ended = append(e.ended, w)
 		case worker.Resting:
 			e.addResting(w, standing.Until)
 		case worker.Paused:
 			paused = append(paused, w)
-		case worker.Spared:
+		case worker.Ejected:
 			spared = append(spared, w)
 		case worker.Ready, worker.Limited:
 			e.available = append(e.available, w)
@@ -125,7 +125,7 @@
 // refuseResting refuses a request until the pause of a worker is over.
 func (p *Placer) refuseResting(w *worker.Worker, now time.Time, considered []Considered) (Choice, Refusal) {
 	choice := Choice{skippedHolder: p.describeUnavailable(w, now), considered: considered}
-	if resting, ok := p.cfg.Loads.Standing(w, now).(worker.Resting); ok {
+	if resting, ok := p.cfg.Loads.Availability(w, now).(worker.Resting); ok {
 		choice.retryAfter = max(resting.Until.Sub(now), 0)
 	}
 	return choice, RefusalResting
@@ -160,10 +160,10 @@
 // the source of that information.
 func (p *Placer) describeUnavailable(w *worker.Worker, now time.Time) string {
 	if leaving, leaves := p.cfg.Loads.Leaving(w); leaves {
-		return fmt.Sprintf("%s leaves, by %s, heard %d ms ago", w.ID, leaving.From, now.Sub(leaving.Heard).Milliseconds())
+		return fmt.Sprintf("%s leaves, by %s, heard %d ms ago", w.ID, leaving.From, now.Sub(leaving.ObservedAt).Milliseconds())
 	}
-	if resting, ok := p.cfg.Loads.Standing(w, now).(worker.Resting); ok {
-		return fmt.Sprintf("%s rests by %s, for %d ms more", w.ID, worker.FromAnswer, resting.Until.Sub(now).Milliseconds())
+	if resting, ok := p.cfg.Loads.Availability(w, now).(worker.Resting); ok {
+		return fmt.Sprintf("%s rests by %s, for %d ms more", w.ID, worker.FromResponse, resting.Until.Sub(now).Milliseconds())
 	}
 	return w.ID + " is in a closed hall"
 }
--- a/coordination/placement/fleet.go
+++ b/coordination/placement/fleet.go
@@ -19,7 +19,7 @@
 		if _, leaves := p.leaving(s, w); leaves || w.New || s.drained(w.Service, w.Hall) {
 			continue
 		}
-		_, ready := p.cfg.Loads.Standing(w, now).(worker.Ready)
+		_, ready := p.cfg.Loads.Availability(w, now).(worker.Ready)
 		fleet.Workers[w.Service] = append(fleet.Workers[w.Service], balance.Worker{Worker: *w, Full: !ready || p.IsCold(s, w)})
 		candidates[w.Service] = append(candidates[w.Service], w)
 	}
--- a/coordination/placement/handover.go
+++ b/coordination/placement/handover.go
@@ -29,7 +29,7 @@
 
 // hallClosing returns the deadline of the workers of a hall, if the hall is closed.
 func (s *Snapshot) hallClosing(hall string) (worker.Leaving, bool) {
-	return worker.Leaving{Ending: s.Closing[hall], From: worker.FromStore}, s.Closed[hall]
+	return worker.Leaving{DrainWindow: s.Closing[hall], From: worker.FromStore}, s.Closed[hall]
 }
 
 // leaving returns the deadline of a worker that is shutting down or whose hall is closed,
@@ -45,13 +45,13 @@
 
 // standing returns the standing of a worker, taking into account whether its hall is
 // closed.
-func (s *Snapshot) standing(all worker.Standings, w *worker.Worker, now time.Time) worker.Standing {
+func (s *Snapshot) standing(all worker.AvailabilityView, w *worker.Worker, now time.Time) worker.Availability {
 	if s.Closed[w.Hall] {
 		if closing, _ := s.hallClosing(w.Hall); !closing.Open(now) {
-			return worker.Left{Leaving: closing}
+			return worker.Departed{Leaving: closing}
 		}
 	}
-	return all.Of(w, now)
+	return all.Get(w, now)
 }
 
 // preferSuccessors ranks workers that are shutting down last, for a request that is sent
@@ -62,7 +62,7 @@
 		return
 	}
 	leaving, leaves := p.leaving(s, first)
-	if !leaves || r.Keyed && !sendsToSuccessor(p.cfg.Now().Sub(leaving.Heard)) {
+	if !leaves || r.Keyed && !sendsToSuccessor(p.cfg.Now().Sub(leaving.ObservedAt)) {
 		return
 	}
 	list.demote(func(w *worker.Worker) bool {
--- a/coordination/placement/handover_test.go
+++ b/coordination/placement/handover_test.go
@@ -93,12 +93,12 @@
 }
 
 // loadSnapshot returns a snapshot in which the first leaving workers are shutting down.
-func loadSnapshot(leaving int, ending worker.Ending) *placement.Snapshot {
+func loadSnapshot(leaving int, ending worker.DrainWindow) *placement.Snapshot {
 	workers := make([]worker.Worker, 0, loadWorkers)
 	for i := range loadWorkers {
 		w := worker.Worker{ID: fmt.Sprintf("w-%d", i), Service: "read", Hall: "north-a", Region: "north", Slots: 9}
 		if i < leaving {
-			w.Leaving, w.Ending = true, ending
+			w.Leaving, w.DrainWindow = true, ending
 		}
 		workers = append(workers, w)
 	}
@@ -114,7 +114,7 @@
 func lateRatioWhenWorkersLeave(t *testing.T, seed uint64, drainTime time.Duration) float64 {
 	random := rand.New(rand.NewPCG(seed, 1))
 	l := newKeyedLoad()
-	initial := loadSnapshot(0, worker.Ending{})
+	initial := loadSnapshot(0, worker.DrainWindow{})
 	l.play(random, 8*time.Second, func(int) *placement.Snapshot { return initial })
 	l.late, l.sent = 0, 0
 	began := l.clock.Now()
@@ -123,7 +123,7 @@
 	last := began
 	for vm := range learnedAt {
 		learnedAt[vm] = began.Add(time.Duration(random.IntN(50)) * loadStep)
-		ending := worker.Ending{Heard: learnedAt[vm], Until: learnedAt[vm].Add(drainTime)}
+		ending := worker.DrainWindow{ObservedAt: learnedAt[vm], Until: learnedAt[vm].Add(drainTime)}
 		if ending.Until.After(last) {
 			last = ending.Until
 		}
@@ -172,7 +172,7 @@
 			f := newFixture(map[string]int{"north": 2}, nil)
 			now := f.clock.Now()
 			f.snapshot.Closed = map[string]bool{"north-a": true}
-			f.snapshot.Closing = map[string]worker.Ending{"north-a": {Heard: now.Add(-time.Minute), Until: now.Add(c.left)}}
+			f.snapshot.Closing = map[string]worker.DrainWindow{"north-a": {ObservedAt: now.Add(-time.Minute), Until: now.Add(c.left)}}
 			got := false
 			for key := range uint64(40) {
 				choice, _ := f.placer.Place(f.snapshot, request(key))
--- a/coordination/placement/holders_test.go
+++ b/coordination/placement/holders_test.go
@@ -29,7 +29,7 @@
 	Convey("With a holder table", t, func() {
 		f, table := newFixtureWithHolders(map[string]int{"north": 8, "south": 8, "east": 8}, nil)
 		hashed, _ := f.placer.Place(f.snapshot, request(7))
-		setHolder := func(id string) { table.Change(holders.Change{holders.KeyOf("read", "north", 7): id}) }
+		setHolder := func(id string) { table.Apply(holders.Changes{holders.KeyOf("read", "north", 7): id}) }
 		place := func() placement.Choice {
 			c, refusal := f.placer.Place(f.snapshot, request(7))
 			So(refusal, ShouldEqual, placement.RefusalNone)
--- a/coordination/placement/placement.go
+++ b/coordination/placement/placement.go
@@ -82,7 +82,7 @@
 	// within the deadlines in Closing.
 	Closed map[string]bool
 	// Closing contains the deadlines of the workers of closed halls.
-	Closing map[string]worker.Ending
+	Closing map[string]worker.DrainWindow
 	// HallColdUntil contains the time until which all workers of a hall are treated as cold,
 	// regardless of their own entries.
 	HallColdUntil map[string]time.Time
@@ -308,7 +308,7 @@
 // countDemand counts the demand for a key, once per request.
 func (p *Placer) countDemand(r Request) {
 	if r.Keyed && len(r.Tried) == 0 {
-		p.cfg.Demand.Keyed(demand.Key{Service: r.Service, Region: p.cfg.Region, Hash: r.Key})
+		p.cfg.Demand.CountRequest(demand.Key{Service: r.Service, Region: p.cfg.Region, Hash: r.Key})
 	}
 }
 
@@ -318,7 +318,7 @@
 	if now.Before(w.ColdUntil) || now.Before(s.HallColdUntil[w.Hall]) {
 		return true
 	}
-	load, limited := p.cfg.Loads.Limited()[w.Life()]
+	load, limited := p.cfg.Loads.Constrained()[w.Incarnation()]
 	if !limited {
 		return false
 	}
@@ -354,12 +354,12 @@
 func (p *Placer) HasCapacity(s *Snapshot, r Request) bool {
 	return slices.ContainsFunc(p.eligibleWorkers(s, r).available, func(w *worker.Worker) bool {
 		_, limited := p.cfg.Loads.RateLimit(w)
-		return w.Region == p.cfg.Region && !limited && !p.IsCold(s, w) && p.cfg.Loads.Of(w.Life()).Busy() < float64(w.Slots)
+		return w.Region == p.cfg.Region && !limited && !p.IsCold(s, w) && p.cfg.Loads.GetOrCreate(w.Incarnation()).Busy() < float64(w.Slots)
 	})
 }
 
 func (p *Placer) beginRequest(w *worker.Worker, considered []Considered) Choice {
-	load := p.cfg.Loads.Of(w.Life())
+	load := p.cfg.Loads.GetOrCreate(w.Incarnation())
 	load.Begin()
 	return Choice{worker: w, load: load, remote: w.Region != p.cfg.Region, considered: considered}
 }
--- a/coordination/placement/placement_test.go
+++ b/coordination/placement/placement_test.go
@@ -109,13 +109,13 @@
 			So(c.Worker().ID, ShouldNotEqual, first.Worker().ID)
 		})
 		Convey("a failed worker is skipped unless all have failed", func() {
-			first.Load().Failed()
+			first.Load().RecordFailure()
 			c, _ := f.placer.Place(f.snapshot, request(7))
 			So(c.Worker().ID, ShouldNotEqual, first.Worker().ID)
 			for i := range 8 {
-				f.loads.Of(fmt.Sprintf("north-%d", i)).Failed()
-				f.loads.Of(fmt.Sprintf("south-%d", i)).Failed()
-				f.loads.Of(fmt.Sprintf("east-%d", i)).Failed()
+				f.loads.GetOrCreate(fmt.Sprintf("north-%d", i)).RecordFailure()
+				f.loads.GetOrCreate(fmt.Sprintf("south-%d", i)).RecordFailure()
+				f.loads.GetOrCreate(fmt.Sprintf("east-%d", i)).RecordFailure()
 			}
 			_, refusal := f.placer.Place(f.snapshot, request(7))
 			So(refusal, ShouldEqual, placement.RefusalNone)
@@ -137,7 +137,7 @@
 			spared := make(map[string]bool)
 			for i := range c.spared {
 				id := fmt.Sprintf("north-%d", i)
-				f.loads.Of(id).Spare(time.Minute)
+				f.loads.GetOrCreate(id).Eject(time.Minute)
 				spared[id] = true
 			}
 			got := false
--- a/coordination/placement/search.go
+++ b/coordination/placement/search.go
@@ -77,7 +77,7 @@
 	}
 	seen := Considered{ID: w.ID, Hall: w.Hall, Region: region, Cold: p.IsCold(s.snapshot, w)}
 	if !seen.Cold {
-		seen.Busy, seen.MaxBusy = p.cfg.Loads.Of(w.Life()).Busy(), s.limits[s.full]*float64(w.Slots)
+		seen.Busy, seen.MaxBusy = p.cfg.Loads.GetOrCreate(w.Incarnation()).Busy(), s.limits[s.full]*float64(w.Slots)
 	}
 	s.considered = append(s.considered, seen)
 	switch {
--- a/coordination/placement/search_test.go
+++ b/coordination/placement/search_test.go
@@ -31,7 +31,7 @@
 func newLimitedFixture(counts map[string]int, p *fakePermits, regions ...string) *fixture {
 	f := newFixture(counts, nil)
 	f.usePermits(p)
-	f.receiveSignal(worker.RateLimit{PerS: 2, Sent: f.clock.Now(), Heard: f.clock.Now().Add(1), From: worker.FromAnswer}, regions...)
+	f.receiveSignal(worker.RateLimit{PerSecond: 2, SentAt: f.clock.Now(), ReceivedAt: f.clock.Now().Add(1), From: worker.FromResponse}, regions...)
 	return f
 }
 
@@ -102,7 +102,7 @@
 	}
 	before := holders()
 	limited := before[0].Worker().ID
-	f.loads.Of(limited).Hear(worker.RateLimit{PerS: 2, Sent: f.clock.Now(), Heard: f.clock.Now().Add(1), From: worker.FromAnswer})
+	f.loads.GetOrCreate(limited).Observe(worker.RateLimit{PerSecond: 2, SentAt: f.clock.Now(), ReceivedAt: f.clock.Now().Add(1), From: worker.FromResponse})
 	for key, c := range holders() {
 		was := before[key].Worker().ID
 		switch {
--- a/coordination/placement/signals_test.go
+++ b/coordination/placement/signals_test.go
@@ -17,7 +17,7 @@
 	for _, w := range f.snapshot.Workers.All() {
 		for _, region := range regions {
 			if w.Region == region {
-				f.loads.Of(w.Life()).Hear(signal)
+				f.loads.GetOrCreate(w.Incarnation()).Observe(signal)
 			}
 		}
 	}
@@ -25,7 +25,7 @@
 
 // leavingNow returns the signal of a worker that shuts down without delay.
 func (f *fixture) leavingNow() worker.Leaving {
-	return worker.Leaving{Ending: worker.Ending{Heard: f.clock.Now(), Until: f.clock.Now()}, From: "v7"}
+	return worker.Leaving{DrainWindow: worker.DrainWindow{ObservedAt: f.clock.Now(), Until: f.clock.Now()}, From: "v7"}
 }
 
 // Guards against requests to workers that are resting or shutting down, also if no others are left.
@@ -55,7 +55,7 @@
 		"all are resting and have failed": {func(f *fixture) {
 			rests(all...)(f)
 			for _, w := range f.snapshot.Workers.All() {
-				f.loads.Of(w.Life()).Failed()
+				f.loads.GetOrCreate(w.Incarnation()).RecordFailure()
 			}
 		}, "", placement.RefusalResting, nil},
 	}
@@ -110,7 +110,7 @@
 	}
 	before := holders()
 	resting := before[0].ID
-	f.loads.Of(resting).Hear(worker.Rest{For: time.Second})
+	f.loads.GetOrCreate(resting).Observe(worker.Rest{For: time.Second})
 	moved := 0
 	for key, w := range holders() {
 		switch {
@@ -152,7 +152,7 @@
 			if first.SkippedHolder() != "" {
 				t.Errorf("skipped %q before any signal", first.SkippedHolder())
 			}
-			f.loads.Of(first.Worker().ID).Hear(c.signal(f))
+			f.loads.GetOrCreate(first.Worker().ID).Observe(c.signal(f))
 			moved, _ := f.placer.Place(f.snapshot, request(3))
 			for _, part := range append(c.want, first.Worker().ID) {
 				if !strings.Contains(moved.SkippedHolder(), part) {
@@ -167,7 +167,7 @@
 func TestRestingRegionSpillsOver(t *testing.T) {
 	f := newFixture(map[string]int{"north": 4, "south": 4, "east": 4}, nil)
 	for _, id := range []string{"north-0", "north-1", "north-2"} {
-		f.loads.Of(id).Hear(worker.Rest{For: time.Second})
+		f.loads.GetOrCreate(id).Observe(worker.Rest{For: time.Second})
 	}
 	refused, got := 0, make(map[string]int)
 	for key := range uint64(30) { // All run concurrently; 36 slots are available.
@@ -186,8 +186,8 @@
 // Guards against new keys for resting workers, and any for those that are shutting down.
 func TestFleetFollowsSignals(t *testing.T) {
 	f := newFixture(map[string]int{"north": 3}, nil)
-	f.loads.Of("north-0").Hear(worker.Leaving{Ending: worker.Ending{Heard: f.clock.Now(), Until: f.clock.Now().Add(time.Second)}})
-	f.loads.Of("north-1").Hear(worker.Rest{For: time.Second})
+	f.loads.GetOrCreate("north-0").Observe(worker.Leaving{DrainWindow: worker.DrainWindow{ObservedAt: f.clock.Now(), Until: f.clock.Now().Add(time.Second)}})
+	f.loads.GetOrCreate("north-1").Observe(worker.Rest{For: time.Second})
 	full := make(map[string]bool)
 	for _, w := range f.placer.Fleet(f.snapshot).Workers["read"] {
 		full[w.ID] = w.Full
--- a/coordination/ratelimit/ratelimit.go
+++ b/coordination/ratelimit/ratelimit.go
@@ -86,7 +86,7 @@
 // splitShare returns the parameters of a VM's local bucket and the amount a window that it
 // lends, where the allowance of a workspace is divided among a number of VMs.
 func (b Bounds) splitShare(l workspace.Limit, vms int) (local bucketParams, lent float64) {
-	if vms < 1 || l.None() {
+	if vms < 1 || l.Unlimited() {
 		return bucketParams{}, 0
 	}
 	share := b.windowAllowance(l) / float64(vms)
--- a/coordination/rollout/decider.go
+++ b/coordination/rollout/decider.go
@@ -274,15 +274,15 @@
 	var fractions map[string]float64
 	responses := in.Report.NewByRoute()
 	for route, old := range in.Report.Old {
-		if float64(old.Ended) < minResponses/worker.CanaryPart {
+		if float64(old.Ended) < minResponses/worker.CanaryFraction {
 			continue
 		}
 		if d.canaryFractions[route] == 0 && responses[route].Ended > 0 {
 			continue
 		}
 		if responses[route].Ended == 0 {
-			grown := worker.CanaryPart * math.Exp2(in.Now.Sub(d.trialSince).Seconds()-1)
-			d.canaryFractions[route] = min(max(grown, worker.CanaryPart), maxCanaryFraction)
+			grown := worker.CanaryFraction * math.Exp2(in.Now.Sub(d.trialSince).Seconds()-1)
+			d.canaryFractions[route] = min(max(grown, worker.CanaryFraction), maxCanaryFraction)
 		}
 		if fractions == nil {
 			fractions = make(map[string]float64)
--- a/coordination/rollout/splitter.go
+++ b/coordination/rollout/splitter.go
@@ -135,7 +135,7 @@
 		if retry || !s.withinShare() {
 			return worker.TrackStable
 		}
-		if inFraction(key, s.cfg.Version, max(s.step.CanaryFractions[route], worker.CanaryPart)) {
+		if inFraction(key, s.cfg.Version, max(s.step.CanaryFractions[route], worker.CanaryFraction)) {
 			return worker.TrackCanary
 		}
 		if s.step.WarmUp && rand.Float64() < warmUpFraction {
--- a/internal/daemon/report.go
+++ b/internal/daemon/report.go
@@ -31,7 +31,7 @@
 			Slots: p.Slots, Usable: p.Usable, Free: p.Free, InUse: p.InUse,
 			Lent: p.Lent, Waiting: p.Waiting, OldestReport: p.OldestReport,
 		}
-		d.meter.Fill(name, &s)
+		d.meter.FillRates(name, &s)
 		status.Services[name] = s
 	}
 	return status
--- a/internal/experiment/rests.go
+++ b/internal/experiment/rests.go
@@ -222,7 +222,7 @@
 func (m *restModel) send(r *restRequest, tried ...string) {
 	if m.way == wayLimit {
 		for id, limit := range r.vm.limits {
-			if float64(r.vm.loads.Of(id).Own()) >= limit {
+			if float64(r.vm.loads.GetOrCreate(id).InFlight()) >= limit {
 				tried = append(tried, id)
 			}
 		}
@@ -273,9 +273,9 @@
 	}
 	m.after(takes, func() {
 		w.held--
-		r.choice.Load().Told(min(w.held, restSlots), max(w.held-restSlots, 0))
+		r.choice.Load().RecordReport(min(w.held, restSlots), max(w.held-restSlots, 0))
 		r.choice.Load().End()
-		r.choice.Load().Answered()
+		r.choice.Load().RecordResponse()
 		if limit, ok := r.vm.limits[w.id]; ok {
 			r.vm.limits[w.id] = limit + 1/limit
 		}
@@ -304,20 +304,20 @@
 		rest = restOfTheOne
 	}
 	load := r.choice.Load()
-	load.Told(min(w.held, restSlots), max(w.held-restSlots, 0))
-	own := load.Own()
+	load.RecordReport(min(w.held, restSlots), max(w.held-restSlots, 0))
+	own := load.InFlight()
 	load.End()
 	m.rests++
 	w.asked[r.vm] = &restAsked{from: m.now.Add(restUnderWay), until: m.now.Add(rest)}
 	if m.way != wayDeaf {
-		load.Hear(worker.Rest{For: rest})
+		load.Observe(worker.Rest{For: rest})
 	}
 	switch m.way {
 	case wayShared:
 		m.after(restNewsTakes, func() {
 			for _, vm := range m.vms {
 				if vm != r.vm {
-					vm.loads.Of(w.id).Hear(worker.Rest{For: rest - restNewsTakes})
+					vm.loads.GetOrCreate(w.id).Observe(worker.Rest{For: rest - restNewsTakes})
 				}
 			}
 		})
--- a/internal/gateway/balance.go
+++ b/internal/gateway/balance.go
@@ -61,7 +61,7 @@
 			continue
 		}
 		m := g.balancerVM(clock.Now())
-		report := g.balancer.meter.Take()
+		report := g.balancer.meter.Drain()
 		if m.ID == g.cfg.VM {
 			g.decide(report)
 			continue
@@ -103,7 +103,7 @@
 	if b.GetRegion() != "" {
 		g.decide(fromBalance(b))
 	}
-	return toBalanced(table.Since(b.GetEpoch(), b.GetVersion()))
+	return toBalanced(table.DeltaSince(b.GetEpoch(), b.GetVersion()))
 }
 
 // fetchTable asks a VM for the table that it follows, since this one has none.
@@ -133,7 +133,7 @@
 	}
 	if b.own == 0 || b.table.Epoch() != b.own {
 		b.own = uint64(now.UnixMicro())
-		b.table.Begin(b.own)
+		b.table.StartEpoch(b.own)
 		b.decider.Reset()
 		g.log.Info("balance: this VM decides which workers hold keys", "epoch", b.own, "keys", b.table.Len())
 	}
--- a/internal/gateway/balancewire.go
+++ b/internal/gateway/balancewire.go
@@ -25,9 +25,9 @@
 		}
 		return d
 	}
-	for service, w := range r.Work {
+	for service, w := range r.Latencies {
 		d := of(service)
-		d.Answers, d.AnswerMillis = w.Answers, uint32(w.Time.Milliseconds())
+		d.Answers, d.AnswerMillis = w.Responses, uint32(w.Total.Milliseconds())
 	}
 	for key, n := range r.Keys {
 		d := of(key.Service)
@@ -42,18 +42,18 @@
 	r := demand.NewReport(b.GetRegion())
 	for _, d := range b.GetDemands() {
 		one := demand.NewReport(b.GetRegion())
-		one.Work[d.GetService()] = demand.Work{Answers: d.GetAnswers(), Time: time.Duration(d.GetAnswerMillis()) * time.Millisecond}
+		one.Latencies[d.GetService()] = demand.Latency{Responses: d.GetAnswers(), Total: time.Duration(d.GetAnswerMillis()) * time.Millisecond}
 		for i, hash := range d.GetKeys()[:min(len(d.GetKeys()), len(d.GetRequests()))] {
 			one.Keys[demand.Key{Service: d.GetService(), Region: b.GetRegion(), Hash: hash}] = d.GetRequests()[i]
 		}
-		r.Join(one)
+		r.Merge(one)
 	}
 	return r
 }
 
 // toBalanced returns a delta of a table as it is sent.
 func toBalanced(d holders.Delta) *peerpb.Balanced {
-	out := &peerpb.Balanced{Epoch: d.Epoch, Full: d.Full, Since: d.Since, At: d.At, Workers: []string{""}}
+	out := &peerpb.Balanced{Epoch: d.Epoch, Full: d.Full, Since: d.Since, At: d.Until, Workers: []string{""}}
 	places := map[string]uint32{"": 0}
 	for key, worker := range d.Holders {
 		place, ok := places[worker]
@@ -72,8 +72,8 @@
 // out.
 func fromBalanced(b *peerpb.Balanced) holders.Delta {
 	d := holders.Delta{
-		Epoch: b.GetEpoch(), Full: b.GetFull(), Since: b.GetSince(), At: b.GetAt(),
-		Holders: make(holders.Change, len(b.GetKeys())),
+		Epoch: b.GetEpoch(), Full: b.GetFull(), Since: b.GetSince(), Until: b.GetAt(),
+		Holders: make(holders.Changes, len(b.GetKeys())),
 	}
 	places, workers := b.GetHolders(), b.GetWorkers()
 	for i, key := range b.GetKeys()[:min(len(b.GetKeys()), len(places))] {
--- a/internal/gateway/compile.go
+++ b/internal/gateway/compile.go
@@ -33,7 +33,7 @@
 	bound   map[string]float64
 	workers map[string]*worker.Worker
 	closed  map[string]bool
-	closing map[string]worker.Ending
+	closing map[string]worker.DrainWindow
 	warmAt  map[string]time.Time
 	// versions are those in use, by service.
 	versions versions
@@ -45,7 +45,7 @@
 func newCompiler() compiler {
 	return compiler{
 		workers: make(map[string]*worker.Worker), closed: make(map[string]bool),
-		closing: make(map[string]worker.Ending), warmAt: make(map[string]time.Time), versions: make(versions),
+		closing: make(map[string]worker.DrainWindow), warmAt: make(map[string]time.Time), versions: make(versions),
 	}
 }
 
@@ -112,8 +112,8 @@
 	}
 	g.snapshot.Store(s)
 	g.compiledConfig.Store(config)
-	g.loads.Keep(s.Workers.Living)
-	g.permits.issuer.Retain(s.Workers.Living)
+	g.loads.Prune(s.Workers.HasIncarnation)
+	g.permits.issuer.Retain(s.Workers.HasIncarnation)
 	if g.life.Current() == phaseStarting {
 		g.enter("serve")
 	}
@@ -139,7 +139,7 @@
 		if c.routes != nil && cfg.Version < c.routes.Version() {
 			continue
 		}
-		c.routes, c.bound = route.NewTable(cfg), cfg.Workspaces.Bound()
+		c.routes, c.bound = route.NewTable(cfg), cfg.Workspaces.HomeShares()
 		g.keyQuestions.forget()
 		g.cfg.Metrics.Generation(cfg.Version)
 		g.log.Info("config: in force", "version", cfg.Version, "revision", o.Revision, "routes", len(cfg.Routes),
@@ -187,8 +187,8 @@
 // ending returns how long those have left of which news of a kind says that they
 // end. The store took that after the moment up to which it is known to have said
 // otherwise.
-func (g *Gateway) ending(kind string, now time.Time) worker.Ending {
-	return worker.Ending{Heard: now, Until: g.replica.TakeChangedFrom(kind).Add(g.leaveWithin())}
+func (g *Gateway) ending(kind string, now time.Time) worker.DrainWindow {
+	return worker.DrainWindow{ObservedAt: now, Until: g.replica.TakeChangedFrom(kind).Add(g.leaveWithin())}
 }
 
 // compileWorkers returns the workers as the replica has them. Those that have not
@@ -215,7 +215,7 @@
 		next[o.Name] = w
 		if c.traffic != nil && c.traffic.Leaving(w.ID) {
 			drained := *w // By an operator.
-			drained.Leaving, drained.Ending = true, worker.Ending{}
+			drained.Leaving, drained.DrainWindow = true, worker.DrainWindow{}
 			w = &drained
 		}
 		list = append(list, w)
@@ -238,7 +238,7 @@
 
 // compileWorker reads the entry of a worker, of which an earlier state may be known;
 // ending is for one that has begun to leave since.
-func (g *Gateway) compileWorker(o object.Object, before *worker.Worker, ending worker.Ending) (*worker.Worker, error) {
+func (g *Gateway) compileWorker(o object.Object, before *worker.Worker, ending worker.DrainWindow) (*worker.Worker, error) {
 	w, cold, err := g.cfg.Codec.Worker(o)
 	if err != nil {
 		return nil, err
@@ -259,12 +259,12 @@
 		before = nil
 	}
 	if cold > 0 {
-		w.ColdUntil = ending.Heard.Add(cold)
+		w.ColdUntil = ending.ObservedAt.Add(cold)
 	}
 	if before != nil {
-		w.Ending = before.Ending
+		w.DrainWindow = before.DrainWindow
 		if w.Leaving && !before.Leaving {
-			w.Ending = ending
+			w.DrainWindow = ending
 		}
 	}
 	w.SetHash()
--- a/internal/gateway/export_test.go
+++ b/internal/gateway/export_test.go
@@ -45,7 +45,7 @@
 
 // Move names the holder of a key, as a decision does.
 func (g *Gateway) Move(service, region string, key uint64, worker string) {
-	g.balancer.table.Change(holders.Change{holders.KeyOf(service, region, key): worker})
+	g.balancer.table.Apply(holders.Changes{holders.KeyOf(service, region, key): worker})
 }
 
 // Holder returns the worker that the table names for a key.
@@ -55,7 +55,7 @@
 }
 
 // Busy returns how many requests this VM takes a worker to hold.
-func (g *Gateway) Busy(worker string) float64 { return g.loads.Of(worker).Busy() }
+func (g *Gateway) Busy(worker string) float64 { return g.loads.GetOrCreate(worker).Busy() }
 
 // Quarantined returns how many requests this VM knows to end workers.
 func (g *Gateway) Quarantined() int { return g.quarantines.table.Len() }
@@ -63,16 +63,16 @@
 // Lives reports whether this VM believes in a life of a worker.
 func (g *Gateway) Lives(life string) bool {
 	s := g.snapshot.Load()
-	return s != nil && s.Workers.Living(life)
+	return s != nil && s.Workers.HasIncarnation(life)
 }
 
 // Leaves reports whether this VM knows a life of a worker to be leaving by anybody's word.
 func (g *Gateway) Leaves(life string) bool {
-	return !g.loads.Told()[life].Leaving.Until.IsZero()
+	return !g.loads.SharedSignals()[life].Leaving.Until.IsZero()
 }
 
 // SawEnd makes this VM see that a life of a worker ends its connections.
-func (g *Gateway) SawEnd(life string) { g.loads.Of(life).Ended() }
+func (g *Gateway) SawEnd(life string) { g.loads.GetOrCreate(life).RecordAllConnectionsClosed() }
 
 // Cold reports whether this VM takes a worker as cold.
 func (g *Gateway) Cold(id string) bool {
@@ -83,17 +83,17 @@
 
 // Distrust makes this VM believe the worst of a life of a worker.
 func (g *Gateway) Distrust(life string) {
-	l := g.loads.Of(life)
+	l := g.loads.GetOrCreate(life)
 	l.Begin()
-	l.Failed()
-	l.Refused()
-	l.Spare(time.Minute)
+	l.RecordFailure()
+	l.RecordConnectionRefused()
+	l.Eject(time.Minute)
 }
 
 // Distrusts reports whether this VM holds anything against a life of a worker.
 func (g *Gateway) Distrusts(life string) bool {
-	l := g.loads.Of(life)
-	return l.Paused() || l.Spared() || l.MayBeCold(clock.Now(), 0)
+	l := g.loads.GetOrCreate(life)
+	return l.Paused() || l.Ejected() || l.MayBeCold(clock.Now(), 0)
 }
 
 // Version returns the version of the routes in force, 0 before there are any.
--- a/internal/gateway/halls.go
+++ b/internal/gateway/halls.go
@@ -43,7 +43,7 @@
 	for hall := range g.cfg.Halls {
 		sum := load.HallStatus{Hall: hall, Missing: missing}
 		for _, report := range reports {
-			sum.Join(report.Of(hall, at))
+			sum.Merge(report.HallStatus(hall, at))
 		}
 		halls[hall] = sum
 	}
@@ -103,9 +103,9 @@
 }
 
 // takesWork reports whether a worker of a standing takes what is sent to it.
-func takesWork(standing worker.Standing) bool {
+func takesWork(standing worker.Availability) bool {
 	switch standing.(type) {
-	case worker.Ready, worker.Spared:
+	case worker.Ready, worker.Ejected:
 		return true
 	default:
 		return false
@@ -125,7 +125,7 @@
 		sum.Slots += w.Slots
 		_, leaves := g.loads.Leaving(w)
 		cold := now.Before(w.ColdUntil) || now.Before(s.HallColdUntil[w.Hall])
-		if !leaves && !cold && !s.Closed[w.Hall] && takesWork(g.loads.Standing(w, now)) {
+		if !leaves && !cold && !s.Closed[w.Hall] && takesWork(g.loads.Availability(w, now)) {
 			sum.Usable += w.Slots
 		}
 		if h.Services == nil {
--- a/internal/gateway/lives_test.go
+++ b/internal/gateway/lives_test.go
@@ -42,12 +42,12 @@
 			if !ok || got.Start != newest || got.Leaving != leaving {
 				t.Fatalf("believed %+v, want start %d, leaving %t", got, newest, leaving)
 			}
-			if !left && !got.Ending.Until.IsZero() {
-				t.Fatalf("it leaves as an earlier life did: %+v", got.Ending)
+			if !left && !got.DrainWindow.Until.IsZero() {
+				t.Fatalf("it leaves as an earlier life did: %+v", got.DrainWindow)
 			}
 			for start := uint64(1); start <= 4; start++ {
 				life := worker.Worker{ID: "w", Start: start}
-				if set.Living(life.Life()) != (start == newest) {
+				if set.HasIncarnation(life.Incarnation()) != (start == newest) {
 					t.Fatalf("life %d is believed, the newest is %d", start, newest)
 				}
 			}
@@ -71,16 +71,16 @@
 	first, second := worker.Worker{ID: "w1", Start: 1}, worker.Worker{ID: "w1", Start: 2}
 	put(1)
 	for _, v := range vms {
-		f.until(v.name+" knows the first life", func() bool { return v.Lives(first.Life()) })
+		f.until(v.name+" knows the first life", func() bool { return v.Lives(first.Incarnation()) })
 	}
-	vms[0].Distrust(first.Life())
-	if !vms[0].Distrusts(first.Life()) {
+	vms[0].Distrust(first.Incarnation())
+	if !vms[0].Distrusts(first.Incarnation()) {
 		t.Fatal("the first life is not spared")
 	}
 	put(2)
 	for _, v := range vms {
-		f.until(v.name+" knows the second life", func() bool { return v.Lives(second.Life()) })
-		if v.Lives(first.Life()) || v.Distrusts(second.Life()) || v.Busy(second.Life()) != 0 {
+		f.until(v.name+" knows the second life", func() bool { return v.Lives(second.Incarnation()) })
+		if v.Lives(first.Incarnation()) || v.Distrusts(second.Incarnation()) || v.Busy(second.Incarnation()) != 0 {
 			t.Errorf("%s believes of the second life what was of the first", v.name)
 		}
 	}
@@ -181,7 +181,7 @@
 	}
 	f.shutStore(true)
 	time.Sleep(2500 * time.Millisecond) // Longer than the store is silent in calm.
-	vms[0].SawEnd(life.Life())
+	vms[0].SawEnd(life.Incarnation())
 	f.within(tellWithin, "all VMs take it as cold", func() bool {
 		for _, v := range vms {
 			if !v.Cold(life.ID) {
--- a/internal/gateway/loads.go
+++ b/internal/gateway/loads.go
@@ -17,23 +17,23 @@
 // hearLoads takes in what workers told other VMs of the region. One VM sends a
 // worker too few requests to know how busy it is.
 func (g *Gateway) hearLoads(told map[string]*peerpb.WorkerLoad) {
-	g.eachLoad(told, (*worker.Load).Heard)
+	g.eachLoad(told, (*worker.Load).MergeReport)
 }
 
 // passOnLoads does the same with what VMs tell that ask this one, and lets the VM
 // that this one asks know of it.
 func (g *Gateway) passOnLoads(told map[string]*peerpb.WorkerLoad) {
-	g.eachLoad(told, (*worker.Load).PassOn)
+	g.eachLoad(told, (*worker.Load).MergeAndForwardReport)
 }
 
-func (g *Gateway) eachLoad(told map[string]*peerpb.WorkerLoad, take func(*worker.Load, worker.Word)) {
+func (g *Gateway) eachLoad(told map[string]*peerpb.WorkerLoad, take func(*worker.Load, worker.LoadReport)) {
 	s := g.snapshot.Load()
 	if s == nil || len(told) > maxLoads {
 		return
 	}
 	for id, l := range told {
-		if s.Workers.Living(id) {
-			take(g.loads.Of(id), worker.Word{Requests: int(l.GetRequests()), Age: time.Duration(l.GetAgeMillis()) * time.Millisecond})
+		if s.Workers.HasIncarnation(id) {
+			take(g.loads.GetOrCreate(id), worker.LoadReport{Requests: int(l.GetRequests()), Age: time.Duration(l.GetAgeMillis()) * time.Millisecond})
 		}
 	}
 }
@@ -72,11 +72,11 @@
 	if mark.GetStart() == g.self.Start {
 		after = mark.GetNumber()
 	}
-	words, number := g.loads.WordsAfter(after)
+	words, number := g.loads.ReportsSince(after)
 	return toLoads(words), &peerpb.LoadsMark{Start: g.self.Start, Number: number}
 }
 
-func toLoads(words map[string]worker.Word) map[string]*peerpb.WorkerLoad {
+func toLoads(words map[string]worker.LoadReport) map[string]*peerpb.WorkerLoad {
 	out := make(map[string]*peerpb.WorkerLoad, len(words))
 	for id, w := range words {
 		out[id] = &peerpb.WorkerLoad{Requests: uint32(w.Requests), AgeMillis: uint32(w.Age.Milliseconds())}
--- a/internal/gateway/outliers.go
+++ b/internal/gateway/outliers.go
@@ -18,7 +18,7 @@
 // it, with what VMs that ask this one have seen, for the region's watcher, which adds
 // up what all VMs of the region saw.
 func (g *Gateway) takeOutcomes() map[string]worker.Outcomes {
-	outcomes := g.loads.TakeOutcomes(maxOutcomes)
+	outcomes := g.loads.DrainOutcomes(maxOutcomes)
 	g.judge.AddOutcomes(outcomes)
 	spared := g.judge.Ejected()
 	g.tellSpared(spared)
@@ -35,10 +35,10 @@
 		return
 	}
 	for id, left := range workers {
-		if !s.Workers.Living(id) {
+		if !s.Workers.HasIncarnation(id) {
 			continue
 		}
-		g.loads.Of(id).Spare(left)
+		g.loads.GetOrCreate(id).Eject(left)
 	}
 }
 
@@ -47,7 +47,7 @@
 // hundred.
 func (g *Gateway) tellSpared(workers map[string]time.Duration) {
 	for id, left := range workers {
-		if !g.loads.Of(id).Spared() {
+		if !g.loads.GetOrCreate(id).Ejected() {
 			g.log.Info("workers: one fails too much and is spared", "worker", id, "for_ms", left.Milliseconds())
 		}
 	}
@@ -60,7 +60,7 @@
 	}
 	outcomes := make(map[string]worker.Outcomes, len(told))
 	for id, o := range told {
-		outcomes[id] = worker.Outcomes{Answered: o.GetAnswered(), Failed: o.GetFailed()}
+		outcomes[id] = worker.Outcomes{Succeeded: o.GetAnswered(), Failed: o.GetFailed()}
 	}
 	g.judge.AddOutcomes(outcomes)
 	g.relayed.addOutcomes(outcomes)
@@ -69,7 +69,7 @@
 func toOutcomes(outcomes map[string]worker.Outcomes) map[string]*peerpb.Outcomes {
 	out := make(map[string]*peerpb.Outcomes, len(outcomes))
 	for id, o := range outcomes {
-		out[id] = &peerpb.Outcomes{Answered: o.Answered, Failed: o.Failed}
+		out[id] = &peerpb.Outcomes{Answered: o.Succeeded, Failed: o.Failed}
 	}
 	return out
 }
--- a/internal/gateway/permits.go
+++ b/internal/gateway/permits.go
@@ -75,7 +75,7 @@
 	default:
 		ctx, cancel := context.WithTimeout(context.Background(), permitWait)
 		defer cancel()
-		wait, ok = p.borrower(issuerKey{vm, priority}).TakeToken(ctx, w.Life())
+		wait, ok = p.borrower(issuerKey{vm, priority}).TakeToken(ctx, w.Incarnation())
 	}
 	result := permitDenied
 	if ok {
@@ -98,7 +98,7 @@
 			live = append(live, ids...)
 		}
 	}
-	first := assign.Top(w.Life(), live, 1)
+	first := assign.Top(w.Incarnation(), live, 1)
 	if len(first) == 0 {
 		return "", false
 	}
@@ -112,7 +112,7 @@
 		return ratelimit.Grant{RetryAfter: noIssuerWait}
 	}
 	return p.issuer.Issue(ratelimit.Demand{
-		Instance: w.Life(), RatePerSecond: perS, LiveVMs: len(live), ListedVMs: listed, Priority: priority, Requests: wanted,
+		Instance: w.Incarnation(), RatePerSecond: perS, LiveVMs: len(live), ListedVMs: listed, Priority: priority, Requests: wanted,
 	})
 }
 
@@ -172,7 +172,7 @@
 
 // toldLimits returns what is known of the limits of some workers.
 func (p *permits) toldLimits(want ratelimit.RequestCounts) map[string]*peerpb.WorkerSignals {
-	now, limited := clock.Now(), p.gateway.loads.Limited()
+	now, limited := clock.Now(), p.gateway.loads.Constrained()
 	told := make(map[string]*peerpb.WorkerSignals, len(want))
 	for life := range want {
 		if load, ok := limited[life]; ok && len(told) < maxSignals {
@@ -210,7 +210,7 @@
 	if s == nil {
 		return ratelimit.Grant{RetryAfter: noIssuerWait}
 	}
-	w, ok := s.Workers.Life(life)
+	w, ok := s.Workers.ByIncarnation(life)
 	if !ok {
 		return ratelimit.Grant{RetryAfter: noIssuerWait}
 	}
--- a/internal/gateway/quota.go
+++ b/internal/gateway/quota.go
@@ -88,7 +88,7 @@
 // Take implements ingress.Limiter.
 func (g *Gateway) Take(ctx context.Context, w *workspace.Workspace) ingress.Admission {
 	limit := w.Limit()
-	if limit.None() {
+	if limit.Unlimited() {
 		return ingress.Admission{Verdict: ingress.AdmissionPassed}
 	}
 	vms := g.listedVMs()
@@ -229,7 +229,7 @@
 // grant grants requests of a workspace by the limit that this VM knows.
 func (g *Gateway) grant(name string, n int) ratelimit.Grant {
 	if s := g.snapshot.Load(); s != nil {
-		if w, ok := s.Routes.Workspaces().Named(name); ok {
+		if w, ok := s.Routes.Workspaces().FindByName(name); ok {
 			return g.quotas.pool.TakeTokens(name, w.Limit(), n)
 		}
 	}
--- a/internal/gateway/relayed.go
+++ b/internal/gateway/relayed.go
@@ -45,7 +45,7 @@
 		if !ok && len(sum) >= maxOutcomes {
 			continue
 		}
-		sum[id] = worker.Outcomes{Answered: held.Answered + o.Answered, Failed: held.Failed + o.Failed}
+		sum[id] = worker.Outcomes{Succeeded: held.Succeeded + o.Succeeded, Failed: held.Failed + o.Failed}
 	}
 }
 
--- a/internal/gateway/rolloutloop.go
+++ b/internal/gateway/rolloutloop.go
@@ -161,7 +161,7 @@
 	now, slots := clock.Now(), 0
 	brought := track == worker.TrackNew
 	for _, w := range s.Workers.Track(service, track) {
-		if _, ready := g.loads.Standing(w, now).(worker.Ready); ready && w.New == brought && !g.placer.IsCold(s, w) {
+		if _, ready := g.loads.Availability(w, now).(worker.Ready); ready && w.New == brought && !g.placer.IsCold(s, w) {
 			slots += w.Slots
 		}
 	}
@@ -401,8 +401,8 @@
 func (g *Gateway) underWay(workers []*worker.Worker) int {
 	n := 0
 	for _, w := range workers {
-		if load, ok := g.loads.Known(w.Life()); ok {
-			n += load.Own()
+		if load, ok := g.loads.Lookup(w.Incarnation()); ok {
+			n += load.InFlight()
 		}
 	}
 	return n
--- a/internal/gateway/signals.go
+++ b/internal/gateway/signals.go
@@ -28,7 +28,7 @@
 // regions and those that start, wake or return from a cut as well, and while the store is
 // away. A signal ends with the life that it is about.
 func (g *Gateway) toldSignals() map[string]*peerpb.WorkerSignals {
-	s, known := g.snapshot.Load(), g.loads.Told()
+	s, known := g.snapshot.Load(), g.loads.SharedSignals()
 	if s == nil || len(known) == 0 {
 		return nil
 	}
@@ -36,7 +36,7 @@
 	confirmed := g.replica.Confirmed(g.cfg.Codec.WorkerKind())
 	told := make(map[string]*peerpb.WorkerSignals, len(known))
 	for life, signals := range known {
-		w, ok := s.Workers.Life(life)
+		w, ok := s.Workers.ByIncarnation(life)
 		if !ok {
 			continue
 		}
@@ -45,9 +45,9 @@
 			// Never less than it is, so that a word which comes back binds no earlier.
 			message.LeavingMillis = millis(max(leaving.Until.Sub(now)+time.Millisecond, 0))
 		}
-		if ended := signals.Ended; ended.Unsettled(confirmed, now) {
-			message.EndedMillis, message.ReturnedMillis = sinceMillis(now, ended.At), sinceMillis(now, ended.Returned)
-			message.LivedFromMillis, message.LivedToMillis = sinceMillis(now, ended.Lived.From), sinceMillis(now, ended.Lived.To)
+		if ended := signals.Exit; ended.Unconfirmed(confirmed, now) {
+			message.EndedMillis, message.ReturnedMillis = sinceMillis(now, ended.At), sinceMillis(now, ended.RespondedAt)
+			message.LivedFromMillis, message.LivedToMillis = sinceMillis(now, ended.NoExitDuring.From), sinceMillis(now, ended.NoExitDuring.To)
 		}
 		if message.LeavingMillis != nil || message.EndedMillis != nil || message.LivedToMillis != nil || message.LimitPerS != nil {
 			told[life] = message
@@ -85,23 +85,23 @@
 	}
 	now := clock.Now()
 	for life, message := range told {
-		w, ok := s.Workers.Life(life)
+		w, ok := s.Workers.ByIncarnation(life)
 		if !ok {
 			continue
 		}
 		if message.LeavingMillis != nil {
 			left := min(time.Duration(message.GetLeavingMillis())*time.Millisecond, g.leaveWithin())
-			leaving := worker.Leaving{Ending: worker.Ending{Heard: now, Until: now.Add(left)}, From: from}
-			if g.loads.Of(life).Hear(leaving) {
+			leaving := worker.Leaving{DrainWindow: worker.DrainWindow{ObservedAt: now, Until: now.Add(left)}, From: from}
+			if g.loads.GetOrCreate(life).Observe(leaving) {
 				g.log.V(1).Info("workers: another VM tells that one leaves", "worker", w.ID, "peer", from, "for_ms", left.Milliseconds())
 			}
 		}
-		ended := worker.Ended{
-			At: before(now, message.EndedMillis), Returned: before(now, message.ReturnedMillis),
-			Lived: worker.Span{From: before(now, message.LivedFromMillis), To: before(now, message.LivedToMillis)},
+		ended := worker.SuspectedExit{
+			At: before(now, message.EndedMillis), RespondedAt: before(now, message.ReturnedMillis),
+			NoExitDuring: worker.Span{From: before(now, message.LivedFromMillis), To: before(now, message.LivedToMillis)},
 		}
-		if ended != (worker.Ended{}) {
-			g.loads.Of(life).Hear(ended)
+		if ended != (worker.SuspectedExit{}) {
+			g.loads.GetOrCreate(life).Observe(ended)
 		}
 		g.hearLimit(now, from, w, message)
 	}
@@ -109,10 +109,10 @@
 
 // toldLimit returns a message that tells a limit, or nothing if there is none to tell.
 func toldLimit(now time.Time, r worker.RateLimit) *peerpb.WorkerSignals {
-	if r.Heard.IsZero() {
+	if r.ReceivedAt.IsZero() {
 		return &peerpb.WorkerSignals{}
 	}
-	return &peerpb.WorkerSignals{LimitPerS: &r.PerS, LimitSentMillis: *sinceMillis(now, r.Sent), LimitHeardMillis: *sinceMillis(now, r.Heard)}
+	return &peerpb.WorkerSignals{LimitPerS: &r.PerSecond, LimitSentMillis: *sinceMillis(now, r.SentAt), LimitHeardMillis: *sinceMillis(now, r.ReceivedAt)}
 }
 
 // hearLimit takes in the limit that a worker has named to another VM, if the message tells one.
@@ -122,9 +122,9 @@
 		return
 	}
 	sent, heard := message.GetLimitSentMillis(), message.GetLimitHeardMillis()
-	limit := worker.RateLimit{PerS: perS, Sent: before(now, &sent), Heard: before(now, &heard), From: from}
-	if g.loads.Of(w.Life()).Hear(limit) {
-		g.log.V(1).Info("workers: another VM tells of a limit", "worker", w.ID, "peer", from, "named", limit.Named(), "per_s", perS)
+	limit := worker.RateLimit{PerSecond: perS, SentAt: before(now, &sent), ReceivedAt: before(now, &heard), From: from}
+	if g.loads.GetOrCreate(w.Incarnation()).Observe(limit) {
+		g.log.V(1).Info("workers: another VM tells of a limit", "worker", w.ID, "peer", from, "named", limit.Finite(), "per_s", perS)
 	}
 }
 
@@ -145,8 +145,8 @@
 	for _, w := range s.Workers.Leaving() {
 		workers[w.ID] = w
 	}
-	for life := range g.loads.Limited() {
-		if w, ok := s.Workers.Life(life); ok {
+	for life := range g.loads.Constrained() {
+		if w, ok := s.Workers.ByIncarnation(life); ok {
 			workers[w.ID] = w
 		}
 	}
@@ -165,7 +165,7 @@
 		h := operator.HeldBackWorker{Worker: w.ID, Service: w.Service, Hall: w.Hall}
 		if leaving, leaves := g.loads.Leaving(w); leaves {
 			h.State, h.From, h.LeftMillis = stateLeaving, leaving.From, max(leaving.Until.Sub(now), 0).Milliseconds()
-		} else if !showStanding(&h, g.loads.Standing(w, now), now) {
+		} else if !showStanding(&h, g.loads.Availability(w, now), now) {
 			continue
 		}
 		shown = append(shown, h)
@@ -175,12 +175,12 @@
 }
 
 // showStanding fills in why a worker is held back, if it rests or names a limit.
-func showStanding(h *operator.HeldBackWorker, standing worker.Standing, now time.Time) bool {
+func showStanding(h *operator.HeldBackWorker, standing worker.Availability, now time.Time) bool {
 	switch s := standing.(type) {
 	case worker.Resting:
-		h.State, h.From, h.LeftMillis = stateResting, worker.FromAnswer, max(s.Until.Sub(now), 0).Milliseconds()
+		h.State, h.From, h.LeftMillis = stateResting, worker.FromResponse, max(s.Until.Sub(now), 0).Milliseconds()
 	case worker.Limited:
-		h.State, h.From, h.PerS, h.SinceMillis = stateLimited, s.From, s.PerS, now.Sub(s.Since).Milliseconds()
+		h.State, h.From, h.PerS, h.SinceMillis = stateLimited, s.From, s.PerSecond, now.Sub(s.Since).Milliseconds()
 	default:
 		return false
 	}
--- a/internal/gateway/signals_test.go
+++ b/internal/gateway/signals_test.go
@@ -148,8 +148,8 @@
 	late.door.set(false, false)
 	next := worker.Worker{ID: leaver.id, Start: 7}
 	for _, v := range f.vms {
-		f.until(v.name+" knows its next life", func() bool { return v.Lives(next.Life()) })
-		if v.Leaves(next.Life()) {
+		f.until(v.name+" knows its next life", func() bool { return v.Lives(next.Incarnation()) })
+		if v.Leaves(next.Incarnation()) {
 			t.Errorf("%s takes the next life for leaving", v.name)
 		}
 	}
--- a/internal/gateway/teller.go
+++ b/internal/gateway/teller.go
@@ -76,9 +76,9 @@
 	}
 	if q.hold > 0 {
 		ask.Outcomes = toOutcomes(g.takeOutcomes())
-		ask.Loads = toLoads(g.loads.TakeWords())
+		ask.Loads = toLoads(g.loads.DrainReports())
 		ask.LoadsMark = g.loadsMark.of(q.from.VM)
-		ask.Balance = toBalance(g.balancer.table, g.balancer.meter.Take())
+		ask.Balance = toBalance(g.balancer.table, g.balancer.meter.Drain())
 	}
 	return ask
 }
@@ -136,7 +136,7 @@
 	g.passOnLoads(ask.GetLoads())
 	g.hearSignals(peerThatAsks, ask.GetSignals())
 	if b := ask.GetBalance(); b.GetRegion() == g.region() {
-		g.balancer.meter.Add(fromBalance(b))
+		g.balancer.meter.Merge(fromBalance(b))
 	}
 	asked := clock.Now()
 	hold := min(time.Duration(ask.GetHoldMillis())*time.Millisecond, askHold)
@@ -200,7 +200,7 @@
 		answer.Loads, answer.LoadsMark = g.loadsAfter(ask.GetLoadsMark())
 	}
 	if b := ask.GetBalance(); b != nil {
-		answer.Balanced = toBalanced(g.balancer.table.Since(b.GetEpoch(), b.GetVersion()))
+		answer.Balanced = toBalanced(g.balancer.table.DeltaSince(b.GetEpoch(), b.GetVersion()))
 	}
 	return g.copies.boundTable(answer)
 }
--- a/state/demand/demand.go
+++ b/state/demand/demand.go
@@ -28,11 +28,11 @@
 	Hash uint64
 }
 
-// Work is the number of responses of a service's workers and their total latency,
+// Latency is the number of responses of a service's workers and their total latency,
 // including the time spent waiting.
-type Work struct {
-	Answers uint32
-	Time    time.Duration
+type Latency struct {
+	Responses uint32
+	Total     time.Duration
 }
 
 // Report holds the counts since the previous report.
@@ -41,13 +41,13 @@
 	Region string
 	// Keys counts the requests with an affinity key, including refused ones.
 	Keys map[Key]uint32
-	// Work holds the latency by service.
-	Work map[string]Work
+	// Latencies holds the latency by service.
+	Latencies map[string]Latency
 }
 
 // NewReport returns an empty report for the callers of a region.
 func NewReport(region string) Report {
-	return Report{Region: region, Keys: make(map[Key]uint32), Work: make(map[string]Work)}
+	return Report{Region: region, Keys: make(map[Key]uint32), Latencies: make(map[string]Latency)}
 }
 
 // Bounds of a report.
@@ -59,12 +59,12 @@
 	MaxServices = 1024
 )
 
-// Join adds another report on callers of the same region.
-func (r *Report) Join(o Report) {
+// Merge adds another report on callers of the same region.
+func (r *Report) Merge(o Report) {
 	for key, n := range o.Keys {
 		r.addRequests(key, n)
 	}
-	for service, w := range o.Work {
+	for service, w := range o.Latencies {
 		r.addLatency(service, w)
 	}
 }
@@ -75,9 +75,9 @@
 	}
 }
 
-func (r *Report) addLatency(service string, w Work) {
-	if sum, ok := r.Work[service]; ok || len(r.Work) < MaxServices {
-		r.Work[service] = Work{Answers: sum.Answers + w.Answers, Time: sum.Time + w.Time}
+func (r *Report) addLatency(service string, w Latency) {
+	if sum, ok := r.Latencies[service]; ok || len(r.Latencies) < MaxServices {
+		r.Latencies[service] = Latency{Responses: sum.Responses + w.Responses, Total: sum.Total + w.Total}
 	}
 }
 
@@ -90,29 +90,29 @@
 // NewMeter returns a meter for a VM with callers in a region.
 func NewMeter(region string) *Meter { return &Meter{report: NewReport(region)} }
 
-// Keyed counts a request with an affinity key.
-func (m *Meter) Keyed(key Key) {
+// CountRequest counts a request with an affinity key.
+func (m *Meter) CountRequest(key Key) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.report.addRequests(key, 1)
 }
 
-// Served records the latency of a response from a worker of a service.
-func (m *Meter) Served(service string, took time.Duration) {
+// RecordLatency records the latency of a response from a worker of a service.
+func (m *Meter) RecordLatency(service string, took time.Duration) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.report.addLatency(service, Work{Answers: 1, Time: took})
+	m.report.addLatency(service, Latency{Responses: 1, Total: took})
 }
 
-// Add adds the report of another VM of the region.
-func (m *Meter) Add(o Report) {
+// Merge adds the report of another VM of the region.
+func (m *Meter) Merge(o Report) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.report.Join(o)
+	m.report.Merge(o)
 }
 
-// Take returns the counts since the previous call and resets them.
-func (m *Meter) Take() Report {
+// Drain returns the counts since the previous call and resets them.
+func (m *Meter) Drain() Report {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	drained := m.report
--- a/state/holders/holders.go
+++ b/state/holders/holders.go
@@ -46,17 +46,17 @@
 	return Key(h ^ h>>32)
 }
 
-// Change maps keys to the IDs of the workers that get them. An empty ID removes a key.
-type Change map[Key]string
+// Changes maps keys to the IDs of the workers that get them. An empty ID removes a key.
+type Changes map[Key]string
 
 // Delta updates a follower's table to a version.
 type Delta struct {
 	Epoch uint64
 	// Full is set if Holders replaces all entries of the follower.
 	Full bool
-	// Since and At are the versions between which the delta is complete.
-	Since, At uint64
-	Holders   Change
+	// Since and Until are the versions between which the delta is complete.
+	Since, Until uint64
+	Holders      Changes
 }
 
 // Table maps keys to workers. It is safe for concurrent use.
@@ -101,8 +101,8 @@
 	return e.worker, ok
 }
 
-// Begin starts a new epoch and keeps the entries.
-func (t *Table) Begin(epoch uint64) {
+// StartEpoch starts a new epoch and keeps the entries.
+func (t *Table) StartEpoch(epoch uint64) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	next := *t.current.Load()
@@ -110,9 +110,9 @@
 	t.current.Store(&next)
 }
 
-// Change applies changes as a new version, unless there are none. New keys beyond
+// Apply applies changes as a new version, unless there are none. New keys beyond
 // MaxEntries are ignored.
-func (t *Table) Change(c Change) {
+func (t *Table) Apply(c Changes) {
 	if len(c) == 0 {
 		return
 	}
@@ -134,7 +134,7 @@
 }
 
 // apply applies changes to a snapshot that isn't published yet.
-func (c *snapshot) apply(changes Change, version uint64) {
+func (c *snapshot) apply(changes Changes, version uint64) {
 	for key, worker := range changes {
 		if worker == "" {
 			delete(c.holders, key)
@@ -152,11 +152,11 @@
 	}
 }
 
-// Since returns the delta for a follower at the given epoch and version. It is empty
+// DeltaSince returns the delta for a follower at the given epoch and version. It is empty
 // if the follower has the same or a newer version of the same epoch.
-func (t *Table) Since(epoch, version uint64) Delta {
+func (t *Table) DeltaSince(epoch, version uint64) Delta {
 	c := t.current.Load()
-	d := Delta{Epoch: c.epoch, Since: version, At: c.version, Holders: make(Change)}
+	d := Delta{Epoch: c.epoch, Since: version, Until: c.version, Holders: make(Changes)}
 	if epoch == c.epoch && version >= c.version {
 		return d
 	}
@@ -188,19 +188,19 @@
 	switch {
 	case d.Epoch == 0:
 		return // The sender has no table.
-	case !d.Full && (d.Epoch != current.epoch || d.Since > current.version || d.At <= current.version):
+	case !d.Full && (d.Epoch != current.epoch || d.Since > current.version || d.Until <= current.version):
 		return
-	case d.Full && d.Epoch == current.epoch && d.At <= current.version:
+	case d.Full && d.Epoch == current.epoch && d.Until <= current.version:
 		return
 	}
 	next := &snapshot{holders: make(map[Key]entry), removed: make(map[Key]uint64)}
 	if !d.Full {
 		next = current.clone()
 	}
-	next.apply(d.Holders, d.At)
-	next.epoch, next.version = d.Epoch, d.At
+	next.apply(d.Holders, d.Until)
+	next.epoch, next.version = d.Epoch, d.Until
 	if d.Full {
-		next.prunedVersion = d.At // A full delta lists no earlier removals.
+		next.prunedVersion = d.Until // A full delta lists no earlier removals.
 	}
 	t.current.Store(next)
 }
--- a/state/load/halls.go
+++ b/state/load/halls.go
@@ -22,8 +22,8 @@
 	return &HallMeters{now: now, meters: make(map[string]*Meter)}
 }
 
-// Of returns the meter of a hall, and creates it if needed.
-func (h *HallMeters) Of(hall string) *Meter {
+// Meter returns the meter of a hall, and creates it if needed.
+func (h *HallMeters) Meter(hall string) *Meter {
 	h.mu.RLock()
 	m, ok := h.meters[hall]
 	h.mu.RUnlock()
@@ -58,7 +58,7 @@
 		services := make(map[string]ServiceStatus)
 		for _, service := range m.Services() {
 			var s ServiceStatus
-			m.Fill(service, &s)
+			m.FillRates(service, &s)
 			s.InUse = m.InFlight(service)
 			services[service] = s
 		}
@@ -67,15 +67,15 @@
 	return report
 }
 
-// Of returns the report's part on a hall, taken at a time. The part of a hall without
+// HallStatus returns the report's part on a hall, taken at a time. The part of a hall without
 // traffic still has the VM's generation.
-func (r Report) Of(hall string, at time.Time) HallStatus {
+func (r Report) HallStatus(hall string, at time.Time) HallStatus {
 	return HallStatus{Hall: hall, At: at.UnixMilli(), Generation: r.Generation, VMs: 1, Services: r.Halls[hall]}
 }
 
-// Join adds another VM's status of the same hall. The result has the earliest time and the
+// Merge adds another VM's status of the same hall. The result has the earliest time and the
 // lowest generation of both.
-func (h *HallStatus) Join(o HallStatus) {
+func (h *HallStatus) Merge(o HallStatus) {
 	if h.VMs == 0 {
 		h.At, h.Generation = o.At, o.Generation
 	}
--- a/state/load/halls_test.go
+++ b/state/load/halls_test.go
@@ -17,18 +17,18 @@
 	Convey("Two VMs that send to two halls", t, func() {
 		clock := clockwork.NewFakeClock()
 		meters1, meters2 := load.NewHallMeters(clock.Now), load.NewHallMeters(clock.Now)
-		meters1.Of("a").Begin("s")
+		meters1.Meter("a").Begin("s")
 		clock.Advance(time.Second)
-		meters2.Of("a").Begin("s")
-		meters2.Of("a").Begin("s")
-		meters2.Of("b").Begin("s")
-		meters2.Of("b").End("s", load.Event{Refused: true})
+		meters2.Meter("a").Begin("s")
+		meters2.Meter("a").Begin("s")
+		meters2.Meter("b").Begin("s")
+		meters2.Meter("b").End("s", load.RequestResult{Refused: true})
 		first, second := meters1.Report(7), meters2.Report(5)
 		halls := make(map[string]load.HallStatus)
 		for _, hall := range []string{"a", "b", "c"} {
 			sum := load.HallStatus{Hall: hall}
-			sum.Join(first.Of(hall, clock.Now()))
-			sum.Join(second.Of(hall, clock.Now()))
+			sum.Merge(first.HallStatus(hall, clock.Now()))
+			sum.Merge(second.HallStatus(hall, clock.Now()))
 			halls[hall] = sum
 		}
 		Convey("are summed by hall", func() {
@@ -44,8 +44,8 @@
 		})
 		Convey("with the earliest time", func() {
 			sum := load.HallStatus{}
-			sum.Join(first.Of("a", clock.Now()))
-			sum.Join(second.Of("a", clock.Now().Add(-time.Minute)))
+			sum.Merge(first.HallStatus("a", clock.Now()))
+			sum.Merge(second.HallStatus("a", clock.Now().Add(-time.Minute)))
 			So(sum.At, ShouldEqual, clock.Now().Add(-time.Minute).UnixMilli())
 		})
 	})
--- a/state/load/load.go
+++ b/state/load/load.go
@@ -117,8 +117,8 @@
 	return h
 }
 
-// Event describes how a request ended.
-type Event struct {
+// RequestResult describes how a request ended.
+type RequestResult struct {
 	Moved   bool
 	Refused bool
 	Bytes   int64
@@ -183,7 +183,7 @@
 }
 
 // End counts the end of a request that Begin counted.
-func (m *Meter) End(service string, e Event) {
+func (m *Meter) End(service string, e RequestResult) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	c := m.countsFor(service)
@@ -230,9 +230,9 @@
 	return slices.Collect(maps.Keys(m.services))
 }
 
-// Fill sets the rates of a service in s. Busy is the average number of requests in
+// FillRates sets the rates of a service in s. Busy is the average number of requests in
 // flight that came from this VM's callers, wherever they ran.
-func (m *Meter) Fill(service string, s *ServiceStatus) {
+func (m *Meter) FillRates(service string, s *ServiceStatus) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	c := m.countsFor(service)
--- a/state/worker/constrained.go
+++ b/state/worker/constrained.go
@@ -60,7 +60,7 @@
 	return nil
 }
 
-// Limited returns the workers that may not be fully available, by incarnation ID. Workers
+// Constrained returns the workers that may not be fully available, by incarnation ID. Workers
 // that are missing in it have no restriction but those of the store. The map must not be
 // modified.
-func (l *Loads) Limited() map[string]*Load { return l.constrained.snapshot() }
+func (l *Loads) Constrained() map[string]*Load { return l.constrained.snapshot() }
--- a/state/worker/exit_test.go
+++ b/state/worker/exit_test.go
@@ -32,21 +32,21 @@
 			clock := clockwork.NewFakeClock()
 			clock.Advance(storeSilence)
 			exitedAt, loads, peers := clock.Now(), worker.NewLoads(clock.Now), worker.NewLoads(clock.Now)
-			l, peer := loads.Of("w"), peers.Of("w")
-			l.Ended()
-			peer.Hear(worker.Ended{At: exitedAt})
+			l, peer := loads.GetOrCreate("w"), peers.GetOrCreate("w")
+			l.RecordAllConnectionsClosed()
+			peer.Observe(worker.SuspectedExit{At: exitedAt})
 			clock.Advance(c.responded)
-			l.Proved(exitedAt.Add(c.opened))
-			l.Hear(worker.Ended{At: exitedAt.Add(5 * time.Millisecond)}) // A late notice from another VM.
+			l.ConfirmAlive(exitedAt.Add(c.opened))
+			l.Observe(worker.SuspectedExit{At: exitedAt.Add(5 * time.Millisecond)}) // A late notice from another VM.
 			if got := l.MayBeCold(exitedAt.Add(-storeSilence), coldStart); got != c.cold {
 				t.Errorf("MayBeCold is %t", got)
 			}
-			peer.Hear(loads.Told()["w"].Ended)
+			peer.Observe(loads.SharedSignals()["w"].Exit)
 			if got := peer.MayBeCold(exitedAt.Add(-storeSilence), coldStart); got != c.cold {
 				t.Errorf("MayBeCold is %t at a VM that got the signal", got)
 			}
 			clock.Advance(time.Second)
-			l.Ended()
+			l.RecordAllConnectionsClosed()
 			if !l.MayBeCold(exitedAt.Add(-storeSilence), coldStart) {
 				t.Error("a later exit is ignored")
 			}
@@ -60,18 +60,18 @@
 	clock := clockwork.NewFakeClock()
 	clock.Advance(time.Minute)
 	loads, peers, confirmed := worker.NewLoads(clock.Now), worker.NewLoads(clock.Now), clock.Now().Add(-10*time.Second)
-	l, peer := loads.Of("w"), peers.Of("w")
-	l.Ended()
-	peer.Hear(worker.Ended{At: clock.Now()})
+	l, peer := loads.GetOrCreate("w"), peers.GetOrCreate("w")
+	l.RecordAllConnectionsClosed()
+	peer.Observe(worker.SuspectedExit{At: clock.Now()})
 	clock.Advance(500 * time.Millisecond)
 	opened := clock.Now()
-	l.Answered()
-	l.Proved(opened)
+	l.RecordResponse()
+	l.ConfirmAlive(opened)
 	clock.Advance(time.Second)
-	l.Ended() // Connections to the previous process.
+	l.RecordAllConnectionsClosed() // Connections to the previous process.
 	clock.Advance(time.Second)
-	l.Proved(opened)
-	peer.Hear(loads.Told()["w"].Ended)
+	l.ConfirmAlive(opened)
+	peer.Observe(loads.SharedSignals()["w"].Exit)
 	if !l.MayBeCold(confirmed, coldStart) || !peer.MayBeCold(confirmed, coldStart) {
 		t.Error("warm 2 s after its start")
 	}
--- a/state/worker/incarnation_test.go
+++ b/state/worker/incarnation_test.go
@@ -16,14 +16,14 @@
 func TestIncarnations(t *testing.T) {
 	Convey("Successive processes of a worker have different incarnation IDs", t, func() {
 		first, second, unknown := worker.Worker{ID: "w", Start: 1}, worker.Worker{ID: "w", Start: 2}, worker.Worker{ID: "w"}
-		So(first.Life(), ShouldNotEqual, second.Life())
-		So(unknown.Life(), ShouldEqual, "w")
+		So(first.Incarnation(), ShouldNotEqual, second.Incarnation())
+		So(unknown.Incarnation(), ShouldEqual, "w")
 		Convey("and a set has only the current one", func() {
 			set := worker.NewSet([]worker.Worker{second})
-			So(set.Living(second.Life()), ShouldBeTrue)
-			So(set.Living(first.Life()), ShouldBeFalse)
-			So(set.Living("w"), ShouldBeFalse)
-			So(worker.NewSet([]worker.Worker{unknown}).Living("w"), ShouldBeTrue)
+			So(set.HasIncarnation(second.Incarnation()), ShouldBeTrue)
+			So(set.HasIncarnation(first.Incarnation()), ShouldBeFalse)
+			So(set.HasIncarnation("w"), ShouldBeFalse)
+			So(worker.NewSet([]worker.Worker{unknown}).HasIncarnation("w"), ShouldBeTrue)
 		})
 	})
 }
@@ -42,40 +42,40 @@
 		// confirmationAge is the age of the store's data at the event.
 		confirmationAge time.Duration
 	}{
-		"refused":                        {(*worker.Load).Refused, true, 0, 3 * time.Second, 0, 0},
-		"refused, store silent":          {(*worker.Load).Refused, false, 0, observed, 0, 0},
-		"refused, response after 2 s":    {(*worker.Load).Refused, false, 0, coldStart + 2*time.Second, 2 * time.Second, 0},
-		"closed":                         {(*worker.Load).Ended, true, 0, 0, 0, 0},
-		"closed, store silent":           {(*worker.Load).Ended, false, 2500 * time.Millisecond, observed, 0, 0},
-		"closed, response after 1 s":     {(*worker.Load).Ended, false, time.Second, coldStart, time.Second, 0},
-		"closed, store silent for 0.3 s": {(*worker.Load).Ended, false, 0, observed, 0, 300 * time.Millisecond},
-		"closed, response after 0.5 s":   {(*worker.Load).Ended, false, 0, coldStart + 500*time.Millisecond, 500 * time.Millisecond, 300 * time.Millisecond},
-		"closed, store confirms":         {(*worker.Load).Ended, true, 0, 0, 0, 300 * time.Millisecond},
-		"one closed, store silent":       {(*worker.Load).HungUp, false, 2 * time.Second, observed, 0, 300 * time.Millisecond},
-		"one closed, store confirms":     {(*worker.Load).HungUp, true, 0, 0, 0, 300 * time.Millisecond},
-		"one closed, then all":           {func(l *worker.Load) { l.HungUp(); l.Ended() }, false, 0, observed, 0, 300 * time.Millisecond},
+		"refused":                        {(*worker.Load).RecordConnectionRefused, true, 0, 3 * time.Second, 0, 0},
+		"refused, store silent":          {(*worker.Load).RecordConnectionRefused, false, 0, observed, 0, 0},
+		"refused, response after 2 s":    {(*worker.Load).RecordConnectionRefused, false, 0, coldStart + 2*time.Second, 2 * time.Second, 0},
+		"closed":                         {(*worker.Load).RecordAllConnectionsClosed, true, 0, 0, 0, 0},
+		"closed, store silent":           {(*worker.Load).RecordAllConnectionsClosed, false, 2500 * time.Millisecond, observed, 0, 0},
+		"closed, response after 1 s":     {(*worker.Load).RecordAllConnectionsClosed, false, time.Second, coldStart, time.Second, 0},
+		"closed, store silent for 0.3 s": {(*worker.Load).RecordAllConnectionsClosed, false, 0, observed, 0, 300 * time.Millisecond},
+		"closed, response after 0.5 s":   {(*worker.Load).RecordAllConnectionsClosed, false, 0, coldStart + 500*time.Millisecond, 500 * time.Millisecond, 300 * time.Millisecond},
+		"closed, store confirms":         {(*worker.Load).RecordAllConnectionsClosed, true, 0, 0, 0, 300 * time.Millisecond},
+		"one closed, store silent":       {(*worker.Load).RecordConnectionClosed, false, 2 * time.Second, observed, 0, 300 * time.Millisecond},
+		"one closed, store confirms":     {(*worker.Load).RecordConnectionClosed, true, 0, 0, 0, 300 * time.Millisecond},
+		"one closed, then all":           {func(l *worker.Load) { l.RecordConnectionClosed(); l.RecordAllConnectionsClosed() }, false, 0, observed, 0, 300 * time.Millisecond},
 		"no event, store silent":         {func(*worker.Load) {}, false, 0, 0, 0, 0},
-		"refused, then closed":           {func(l *worker.Load) { l.Refused(); l.Ended() }, true, 0, 3 * time.Second, 0, 0},
+		"refused, then closed":           {func(l *worker.Load) { l.RecordConnectionRefused(); l.RecordAllConnectionsClosed() }, true, 0, 3 * time.Second, 0, 0},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
 			const step = 500 * time.Millisecond
 			clock := clockwork.NewFakeClock()
 			loads := worker.NewLoads(clock.Now)
-			l, start := loads.Of("w"), clock.Now()
-			l.Failed()
+			l, start := loads.GetOrCreate("w"), clock.Now()
+			l.RecordFailure()
 			c.event(l)
 			for at := time.Duration(0); at < observed; at += step {
 				if c.respondsAt > 0 && at >= c.respondsAt {
-					l.Answered()
+					l.RecordResponse()
 				}
-				loads.Keep(func(string) bool { return true })
+				loads.Prune(func(string) bool { return true })
 				confirmed := start.Add(-c.confirmationAge)
 				if c.storeConfirms {
 					confirmed = clock.Now()
 				}
 				want := at >= c.coldFrom && at < c.coldFrom+c.coldFor
-				if _, kept := loads.Limited()["w"]; want && !kept {
+				if _, kept := loads.Constrained()["w"]; want && !kept {
 					t.Fatalf("the load was pruned after %s", at)
 				}
 				if l.MayBeCold(confirmed, coldStart) != want {
--- a/state/worker/loads.go
+++ b/state/worker/loads.go
@@ -46,8 +46,8 @@
 	return l
 }
 
-// Of returns the load of a worker by its incarnation ID, and creates it if needed.
-func (l *Loads) Of(id string) *Load {
+// GetOrCreate returns the load of a worker by its incarnation ID, and creates it if needed.
+func (l *Loads) GetOrCreate(id string) *Load {
 	s := &l.shards[xxhash.Sum64String(id)%shardCount]
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -59,8 +59,8 @@
 	return load
 }
 
-// Known returns the load of a worker by its incarnation ID, if there is one.
-func (l *Loads) Known(id string) (*Load, bool) {
+// Lookup returns the load of a worker by its incarnation ID, if there is one.
+func (l *Loads) Lookup(id string) (*Load, bool) {
 	s := &l.shards[xxhash.Sum64String(id)%shardCount]
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -76,19 +76,19 @@
 	return l.signals.relevant(hasEntry, l.now())
 }
 
-// Keep removes the loads for which wanted returns false. It keeps those with requests in
+// Prune removes the loads for which wanted returns false. It keeps those with requests in
 // flight and those whose signals still matter.
-func (l *Loads) Keep(wanted func(id string) bool) {
+func (l *Loads) Prune(wanted func(id string) bool) {
 	l.constrained.prune(func(load *Load) bool {
 		hasEntry := wanted(load.id)
-		return load.signalsRelevant(hasEntry) || hasEntry && (load.Paused() || load.Spared() || load.exitedRecently())
+		return load.signalsRelevant(hasEntry) || hasEntry && (load.Paused() || load.Ejected() || load.exitedRecently())
 	})
-	constrained := l.Limited()
+	constrained := l.Constrained()
 	for i := range l.shards {
 		s := &l.shards[i]
 		s.mu.Lock()
 		for id, load := range s.loads {
-			if !wanted(id) && load.Own() == 0 && constrained[id] != load {
+			if !wanted(id) && load.InFlight() == 0 && constrained[id] != load {
 				delete(s.loads, id)
 			}
 		}
@@ -139,16 +139,16 @@
 	l.inFlight--
 }
 
-// Own returns the number of requests of this VM in flight.
-func (l *Load) Own() int {
+// InFlight returns the number of requests of this VM in flight.
+func (l *Load) InFlight() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.inFlight
 }
 
-// Told records the worker's report of its running and waiting requests. It must be
+// RecordReport records the worker's report of its running and waiting requests. It must be
 // called before End of the request whose response carried the report.
-func (l *Load) Told(running, waiting int) {
+func (l *Load) RecordReport(running, waiting int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.othersInFlight = max(0, running+waiting-(l.inFlight-1))
@@ -169,8 +169,8 @@
 	return float64(l.inFlight) + float64(l.othersInFlight)*(1-age.Seconds()/reportTTL.Seconds())
 }
 
-// Failed records that the worker didn't respond, and pauses it.
-func (l *Load) Failed() {
+// RecordFailure records that the worker didn't respond, and pauses it.
+func (l *Load) RecordFailure() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	pause := min(minPause<<min(l.failures, 8), maxPause)
@@ -179,8 +179,8 @@
 	l.constrained.add(l)
 }
 
-// Answered records a response, and ends a pause.
-func (l *Load) Answered() {
+// RecordResponse records a response, and ends a pause.
+func (l *Load) RecordResponse() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.failures = 0
@@ -207,17 +207,17 @@
 	maxUnconfirmedCold = 30 * time.Second
 )
 
-// Refused records that the worker's port refused a connection, which means
+// RecordConnectionRefused records that the worker's port refused a connection, which means
 // that its process has exited.
-func (l *Load) Refused() {
+func (l *Load) RecordConnectionRefused() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.refusedAt = l.now()
 }
 
-// Ended records that the worker closed all connections that were
+// RecordAllConnectionsClosed records that the worker closed all connections that were
 // checked. Its process may have exited.
-func (l *Load) Ended() {
+func (l *Load) RecordAllConnectionsClosed() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.recordExit(l.now())
@@ -225,9 +225,9 @@
 	l.constrained.add(l)
 }
 
-// HungUp records that the worker closed one connection during a request.
+// RecordConnectionClosed records that the worker closed one connection during a request.
 // Its process may have exited, or only a response was lost.
-func (l *Load) HungUp() {
+func (l *Load) RecordConnectionClosed() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.uncertain = l.lastExit().Before(l.now().Add(-duplicateSignalWindow)) || l.uncertain
@@ -285,10 +285,10 @@
 	return s.From.Before(at.Add(-exitObservationSkew)) && s.To.After(at.Add(exitObservationSkew))
 }
 
-// Proved records a response over a connection that was opened at the given time. A
+// ConfirmAlive records a response over a connection that was opened at the given time. A
 // connection doesn't outlive the process at its other end, so a suspected exit in between
 // is wrong: only other connections were lost.
-func (l *Load) Proved(connectionOpened time.Time) {
+func (l *Load) ConfirmAlive(connectionOpened time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if connectionOpened.After(l.provenAlive.To) || connectionOpened.Before(l.provenAlive.From) {
--- a/state/worker/outcomes.go
+++ b/state/worker/outcomes.go
@@ -24,7 +24,7 @@
 
 // Outcomes counts recent exchanges with a worker. Refused requests count as neither, since
 // the worker didn't run them.
-type Outcomes struct{ Answered, Failed uint32 }
+type Outcomes struct{ Succeeded, Failed uint32 }
 
 // outcomes counts the exchanges with one worker since the last drain.
 type outcomes struct {
@@ -33,8 +33,8 @@
 	failed      uint32
 }
 
-// Outcome counts a finished exchange.
-func (l *Load) Outcome(failed bool) {
+// RecordOutcome counts a finished exchange.
+func (l *Load) RecordOutcome(failed bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if failed {
@@ -46,10 +46,10 @@
 	l.outcomes.succeededAt = now
 }
 
-// Gone records that the worker's address now belongs to another worker, which
+// MarkAddressReused records that the worker's address now belongs to another worker, which
 // means that its process has exited. It pauses the worker and counts addressReuseFailures,
 // so that other VMs eject it without trying it.
-func (l *Load) Gone() {
+func (l *Load) MarkAddressReused() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.outcomes.failed += addressReuseFailures
@@ -62,25 +62,25 @@
 	return o.succeeded * math.Exp(-now.Sub(o.succeededAt).Seconds()/outcomeDecayTime.Seconds())
 }
 
-// Spare excludes the worker for a time. It still gets requests if too many workers of its
+// Eject excludes the worker for a time. It still gets requests if too many workers of its
 // service are ejected.
-func (l *Load) Spare(duration time.Duration) {
+func (l *Load) Eject(duration time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.ejectedUntil = l.now().Add(duration)
 	l.constrained.add(l)
 }
 
-// Spared reports whether the worker is ejected.
-func (l *Load) Spared() bool {
+// Ejected reports whether the worker is ejected.
+func (l *Load) Ejected() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.now().Before(l.ejectedUntil)
 }
 
-// TakeOutcomes returns and resets the outcomes of at most limit workers that have failed
+// DrainOutcomes returns and resets the outcomes of at most limit workers that have failed
 // since the last call, by incarnation ID. Workers without failures are left out.
-func (l *Loads) TakeOutcomes(limit int) map[string]Outcomes {
+func (l *Loads) DrainOutcomes(limit int) map[string]Outcomes {
 	drained := make(map[string]Outcomes)
 	for i := range l.shards {
 		l.shards[i].drainOutcomes(drained, limit)
@@ -107,7 +107,7 @@
 	if l.outcomes.failed == 0 {
 		return Outcomes{}, false
 	}
-	o := Outcomes{Answered: uint32(math.Round(l.outcomes.decayedSuccesses(l.now()))), Failed: l.outcomes.failed}
+	o := Outcomes{Succeeded: uint32(math.Round(l.outcomes.decayedSuccesses(l.now()))), Failed: l.outcomes.failed}
 	l.outcomes = outcomes{}
 	return o, true
 }
--- a/state/worker/ratelimit.go
+++ b/state/worker/ratelimit.go
@@ -24,20 +24,20 @@
 
 // RateLimit is the rate that a worker accepts from all VMs together, as named in a response.
 type RateLimit struct {
-	// PerS is the rate in requests per second, math.Inf(1) if the response names no
+	// PerSecond is the rate in requests per second, math.Inf(1) if the response names no
 	// limit.
-	PerS float64
-	// The response was created between Sent, when its request was sent, and Heard,
+	PerSecond float64
+	// The response was created between SentAt, when its request was sent, and ReceivedAt,
 	// when it arrived.
-	Sent, Heard time.Time
+	SentAt, ReceivedAt time.Time
 	// From is FromResponse or the VM that relayed the limit.
 	From string
 }
 
 func (RateLimit) isSignal() {}
 
-// Named reports whether there is a limit.
-func (r RateLimit) Named() bool { return !r.Heard.IsZero() && !math.IsInf(r.PerS, 1) }
+// Finite reports whether there is a limit.
+func (r RateLimit) Finite() bool { return !r.ReceivedAt.IsZero() && !math.IsInf(r.PerSecond, 1) }
 
 // rateState is the known rate limit of one process of a worker.
 type rateState struct {
@@ -54,45 +54,45 @@
 // limit begins, changes by much or ends.
 func (s *rateState) observe(r RateLimit, now time.Time) (notable bool) {
 	previous := s.last
-	if !previous.Named() && !r.Named() || !r.Heard.After(previous.Sent) {
+	if !previous.Finite() && !r.Finite() || !r.ReceivedAt.After(previous.SentAt) {
 		return false
 	}
 	switch {
-	case previous.Named() && r.PerS == previous.PerS:
+	case previous.Finite() && r.PerSecond == previous.PerSecond:
 		s.refresh(r)
 		return false
-	case previous.Named() && r.PerS > previous.PerS && !r.earliestCreation().After(previous.Heard):
+	case previous.Finite() && r.PerSecond > previous.PerSecond && !r.earliestCreation().After(previous.ReceivedAt):
 		return false
 	}
 	s.last = r
 	switch {
-	case !r.Named():
-		s.previousPerSecond = previous.PerS
-	case !previous.Named():
+	case !r.Finite():
+		s.previousPerSecond = previous.PerSecond
+	case !previous.Finite():
 		s.limitedSince = now
 	}
-	return r.Named() != previous.Named() || differMuch(r.PerS, previous.PerS)
+	return r.Finite() != previous.Finite() || differMuch(r.PerSecond, previous.PerSecond)
 }
 
 // refresh updates the times of a limit that is already known.
 func (s *rateState) refresh(r RateLimit) {
-	if r.From != FromAnswer && r.Heard.Before(s.last.Heard.Add(duplicateSignalWindow)) {
+	if r.From != FromResponse && r.ReceivedAt.Before(s.last.ReceivedAt.Add(duplicateSignalWindow)) {
 		return
 	}
-	s.last.Sent, s.last.Heard = later(s.last.Sent, r.Sent), later(s.last.Heard, r.Heard)
+	s.last.SentAt, s.last.ReceivedAt = later(s.last.SentAt, r.SentAt), later(s.last.ReceivedAt, r.ReceivedAt)
 }
 
 // earliestCreation returns the earliest time at which the response can have been created.
 func (r RateLimit) earliestCreation() time.Time {
-	if r.From == FromAnswer {
-		return r.Sent
+	if r.From == FromResponse {
+		return r.SentAt
 	}
-	return r.Sent.Add(-relayMargin)
+	return r.SentAt.Add(-relayMargin)
 }
 
 // shared reports whether the limit is to be shared with other VMs.
 func (s *rateState) shared(now time.Time) bool {
-	return s.last.Named() || now.Sub(s.last.Heard) < limitEndSharedFor
+	return s.last.Finite() || now.Sub(s.last.ReceivedAt) < limitEndSharedFor
 }
 
 // differMuch reports whether one rate is more than 1.5 times the other.
@@ -112,11 +112,11 @@
 // of a limit the rate doubles in steps, so that the requests held back don't arrive all at
 // once.
 func (s *rateState) rate(now time.Time) (perSecond float64, limited bool) {
-	if s.last.Named() {
-		return s.last.PerS, true
+	if s.last.Finite() {
+		return s.last.PerSecond, true
 	}
-	steps := now.Sub(s.last.Heard).Seconds() / rateRampStep.Seconds()
-	if s.last.Heard.IsZero() || steps >= rateRampSteps {
+	steps := now.Sub(s.last.ReceivedAt).Seconds() / rateRampStep.Seconds()
+	if s.last.ReceivedAt.IsZero() || steps >= rateRampSteps {
 		return 0, false
 	}
 	return max(s.previousPerSecond, minRampRate) * math.Exp2(max(steps, 0)), true
@@ -125,7 +125,7 @@
 // RateLimit returns the rate, in requests per second, that all VMs together may send to a
 // worker now, if it is limited.
 func (l *Loads) RateLimit(w *Worker) (perSecond float64, limited bool) {
-	load, constrained := l.Limited()[w.Life()]
+	load, constrained := l.Constrained()[w.Incarnation()]
 	if !constrained {
 		return 0, false
 	}
--- a/state/worker/ratelimit_test.go
+++ b/state/worker/ratelimit_test.go
@@ -30,20 +30,20 @@
 		reports []limitReport
 		want    float64 // unlimited if there is none
 	}{
-		"single":                   {[]limitReport{{3, 0, 50 * ms, worker.FromAnswer}}, 3},
-		"no limit":                 {[]limitReport{{unlimited, 0, 50 * ms, worker.FromAnswer}}, unlimited},
-		"tighter":                  {[]limitReport{{12, 0, 50 * ms, worker.FromAnswer}, {3, 40 * ms, 60 * ms, worker.FromAnswer}}, 3},
-		"looser, newer":            {[]limitReport{{3, 0, 50 * ms, worker.FromAnswer}, {12, 51 * ms, 90 * ms, worker.FromAnswer}}, 12},
-		"looser, out of order":     {[]limitReport{{3, 40 * ms, 60 * ms, worker.FromAnswer}, {12, 0, 90 * ms, worker.FromAnswer}}, 3},
-		"tighter, older":           {[]limitReport{{12, 60 * ms, 90 * ms, worker.FromAnswer}, {3, 0, 50 * ms, "v2"}}, 12},
-		"end":                      {[]limitReport{{3, 0, 50 * ms, worker.FromAnswer}, {unlimited, 60 * ms, 90 * ms, worker.FromAnswer}}, unlimited},
-		"end, out of order":        {[]limitReport{{3, 40 * ms, 60 * ms, worker.FromAnswer}, {unlimited, 0, 90 * ms, worker.FromAnswer}}, 3},
-		"end relayed by a VM":      {[]limitReport{{3, 0, 50 * ms, worker.FromAnswer}, {unlimited, 300 * ms, 350 * ms, "v2"}}, unlimited},
-		"relayed end seems newer":  {[]limitReport{{3, 0, 50 * ms, worker.FromAnswer}, {unlimited, 100 * ms, 150 * ms, "v2"}}, 3},
-		"limit after an end":       {[]limitReport{{3, 0, 50 * ms, worker.FromAnswer}, {unlimited, 60 * ms, 90 * ms, worker.FromAnswer}, {5, 95 * ms, 99 * ms, "v2"}}, 5},
-		"limit of 0":               {[]limitReport{{0, 0, 50 * ms, worker.FromAnswer}}, 0},
-		"same limit relayed":       {[]limitReport{{3, 0, 50 * ms, worker.FromAnswer}, {3, 10 * ms, 60 * ms, "v2"}, {12, 55 * ms, 90 * ms, worker.FromAnswer}}, 12},
-		"same limit relayed later": {[]limitReport{{3, 0, 50 * ms, worker.FromAnswer}, {3, 1900 * ms, 2000 * ms, "v2"}, {12, 1500 * ms, 2100 * ms, worker.FromAnswer}}, 3},
+		"single":                   {[]limitReport{{3, 0, 50 * ms, worker.FromResponse}}, 3},
+		"no limit":                 {[]limitReport{{unlimited, 0, 50 * ms, worker.FromResponse}}, unlimited},
+		"tighter":                  {[]limitReport{{12, 0, 50 * ms, worker.FromResponse}, {3, 40 * ms, 60 * ms, worker.FromResponse}}, 3},
+		"looser, newer":            {[]limitReport{{3, 0, 50 * ms, worker.FromResponse}, {12, 51 * ms, 90 * ms, worker.FromResponse}}, 12},
+		"looser, out of order":     {[]limitReport{{3, 40 * ms, 60 * ms, worker.FromResponse}, {12, 0, 90 * ms, worker.FromResponse}}, 3},
+		"tighter, older":           {[]limitReport{{12, 60 * ms, 90 * ms, worker.FromResponse}, {3, 0, 50 * ms, "v2"}}, 12},
+		"end":                      {[]limitReport{{3, 0, 50 * ms, worker.FromResponse}, {unlimited, 60 * ms, 90 * ms, worker.FromResponse}}, unlimited},
+		"end, out of order":        {[]limitReport{{3, 40 * ms, 60 * ms, worker.FromResponse}, {unlimited, 0, 90 * ms, worker.FromResponse}}, 3},
+		"end relayed by a VM":      {[]limitReport{{3, 0, 50 * ms, worker.FromResponse}, {unlimited, 300 * ms, 350 * ms, "v2"}}, unlimited},
+		"relayed end seems newer":  {[]limitReport{{3, 0, 50 * ms, worker.FromResponse}, {unlimited, 100 * ms, 150 * ms, "v2"}}, 3},
+		"limit after an end":       {[]limitReport{{3, 0, 50 * ms, worker.FromResponse}, {unlimited, 60 * ms, 90 * ms, worker.FromResponse}, {5, 95 * ms, 99 * ms, "v2"}}, 5},
+		"limit of 0":               {[]limitReport{{0, 0, 50 * ms, worker.FromResponse}}, 0},
+		"same limit relayed":       {[]limitReport{{3, 0, 50 * ms, worker.FromResponse}, {3, 10 * ms, 60 * ms, "v2"}, {12, 55 * ms, 90 * ms, worker.FromResponse}}, 12},
+		"same limit relayed later": {[]limitReport{{3, 0, 50 * ms, worker.FromResponse}, {3, 1900 * ms, 2000 * ms, "v2"}, {12, 1500 * ms, 2100 * ms, worker.FromResponse}}, 3},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -51,7 +51,7 @@
 			start, loads, w := clock.Now(), worker.NewLoads(clock.Now), worker.Worker{ID: "w"}
 			for _, report := range c.reports {
 				clock.Advance(start.Add(report.received).Sub(clock.Now()))
-				loads.Of("w").Hear(worker.RateLimit{PerS: report.perSecond, Sent: start.Add(report.sent), Heard: start.Add(report.received), From: report.from})
+				loads.GetOrCreate("w").Observe(worker.RateLimit{PerSecond: report.perSecond, SentAt: start.Add(report.sent), ReceivedAt: start.Add(report.received), From: report.from})
 			}
 			clock.Advance(5 * time.Second) // After the ramp.
 			got, limited := loads.RateLimit(&w)
@@ -73,18 +73,18 @@
 			latest = rapid.SampledFrom(limits).Draw(t, "limit")
 			sent := clock.Now()
 			clock.Advance(time.Duration(rapid.IntRange(1, 900).Draw(t, "takes")) * time.Millisecond)
-			limitSignals := []worker.RateLimit{{PerS: latest, Sent: sent, Heard: clock.Now(), From: worker.FromAnswer}}
+			limitSignals := []worker.RateLimit{{PerSecond: latest, SentAt: sent, ReceivedAt: clock.Now(), From: worker.FromResponse}}
 			if rapid.Bool().Draw(t, "an old one is told again") {
-				limitSignals = append(limitSignals, worker.RateLimit{PerS: 1, Sent: sent.Add(-time.Second), Heard: sent.Add(-time.Millisecond), From: "v2"})
+				limitSignals = append(limitSignals, worker.RateLimit{PerSecond: 1, SentAt: sent.Add(-time.Second), ReceivedAt: sent.Add(-time.Millisecond), From: "v2"})
 			}
 			for _, a := range rapid.Permutation(limitSignals).Draw(t, "order") {
-				loads.Of("w").Hear(a)
+				loads.GetOrCreate("w").Observe(a)
 			}
 			clock.Advance(time.Millisecond)
 		}
 		sent := clock.Now()
 		clock.Advance(time.Millisecond)
-		loads.Of("w").Hear(worker.RateLimit{PerS: latest, Sent: sent, Heard: clock.Now(), From: worker.FromAnswer})
+		loads.GetOrCreate("w").Observe(worker.RateLimit{PerSecond: latest, SentAt: sent, ReceivedAt: clock.Now(), From: worker.FromResponse})
 		clock.Advance(5 * time.Second)
 		got, limited := loads.RateLimit(&w)
 		if limited != !math.IsInf(latest, 1) || limited && got != latest {
@@ -100,7 +100,7 @@
 	observe := func(perSecond float64) {
 		sent := clock.Now()
 		clock.Advance(time.Millisecond)
-		loads.Of(w.Life()).Hear(worker.RateLimit{PerS: perSecond, Sent: sent, Heard: clock.Now(), From: worker.FromAnswer})
+		loads.GetOrCreate(w.Incarnation()).Observe(worker.RateLimit{PerSecond: perSecond, SentAt: sent, ReceivedAt: clock.Now(), From: worker.FromResponse})
 	}
 	observe(4)
 	if _, limited := loads.RateLimit(&worker.Worker{ID: "w", Start: 2}); limited {
@@ -121,8 +121,8 @@
 		t.Error("still limited 3 s after the end")
 	}
 	clock.Advance(time.Minute)
-	loads.Keep(func(string) bool { return true })
-	if _, held := loads.Limited()[w.Life()]; held {
+	loads.Prune(func(string) bool { return true })
+	if _, held := loads.Constrained()[w.Incarnation()]; held {
 		t.Error("the ended limit is kept after a minute")
 	}
 }
--- a/state/worker/reports.go
+++ b/state/worker/reports.go
@@ -18,24 +18,24 @@
 	duplicateReportWindow = 20 * time.Millisecond
 )
 
-// Word is a worker's report of the requests that it runs or queues.
-type Word struct {
+// LoadReport is a worker's report of the requests that it runs or queues.
+type LoadReport struct {
 	Requests int
 	// Age is the time since the worker sent the report.
 	Age time.Duration
 }
 
-// Heard merges a load report that the worker sent to another VM, unless the known one
+// MergeReport merges a load report that the worker sent to another VM, unless the known one
 // is as new.
-func (l *Load) Heard(r Word) {
+func (l *Load) MergeReport(r LoadReport) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.mergeReport(r)
 }
 
-// PassOn merges a load report like MergeReport, and includes it in the next
+// MergeAndForwardReport merges a load report like MergeReport, and includes it in the next
 // DrainReports.
-func (l *Load) PassOn(r Word) {
+func (l *Load) MergeAndForwardReport(r LoadReport) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.unsentReport = l.mergeReport(r) || l.unsentReport
@@ -43,7 +43,7 @@
 
 // mergeReport merges a load report and reports whether it is new. The caller holds the
 // lock.
-func (l *Load) mergeReport(r Word) bool {
+func (l *Load) mergeReport(r LoadReport) bool {
 	at := l.now().Add(-r.Age)
 	if !at.After(l.reportedAt.Add(duplicateReportWindow)) {
 		return false
@@ -55,14 +55,14 @@
 }
 
 // currentReport returns the latest load report and whether it is worth forwarding.
-func (l *Load) currentReport() (Word, bool) {
+func (l *Load) currentReport() (LoadReport, bool) {
 	age := l.now().Sub(l.reportedAt)
-	return Word{Requests: l.reportedTotal, Age: age}, age < reportTTL && l.reportedTotal >= minReportedRequests
+	return LoadReport{Requests: l.reportedTotal, Age: age}, age < reportTTL && l.reportedTotal >= minReportedRequests
 }
 
-// TakeWords returns the load reports that this VM received since the last call, by
+// DrainReports returns the load reports that this VM received since the last call, by
 // incarnation ID.
-func (l *Loads) TakeWords() map[string]Word {
+func (l *Loads) DrainReports() map[string]LoadReport {
 	return l.collectReports(func(load *Load) bool {
 		unsent := load.unsentReport
 		load.unsentReport = false
@@ -70,24 +70,24 @@
 	})
 }
 
-// WordsAfter returns the known load reports with a sequence number above seq, by
+// ReportsSince returns the known load reports with a sequence number above seq, by
 // incarnation ID, and the number for the next call. A seq of 0 returns all.
-func (l *Loads) WordsAfter(seq uint64) (map[string]Word, uint64) {
+func (l *Loads) ReportsSince(seq uint64) (map[string]LoadReport, uint64) {
 	last := l.lastReportSeq.Load()
 	return l.collectReports(func(load *Load) bool { return load.reportSeq > seq }), last
 }
 
 // collectReports returns the valid load reports of the workers for which wanted returns
 // true. It holds the load's lock during the call of wanted.
-func (l *Loads) collectReports(wanted func(*Load) bool) map[string]Word {
-	reports := make(map[string]Word)
+func (l *Loads) collectReports(wanted func(*Load) bool) map[string]LoadReport {
+	reports := make(map[string]LoadReport)
 	for i := range l.shards {
 		l.shards[i].collectReports(reports, wanted)
 	}
 	return reports
 }
 
-func (s *shard) collectReports(reports map[string]Word, wanted func(*Load) bool) {
+func (s *shard) collectReports(reports map[string]LoadReport, wanted func(*Load) bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for id, load := range s.loads {
--- a/state/worker/signal.go
+++ b/state/worker/signal.go
@@ -33,8 +33,8 @@
 
 // Sources of a signal other than a VM.
 const (
-	FromAnswer = "its answer"
-	FromStore  = "the store"
+	FromResponse = "its answer"
+	FromStore    = "the store"
 )
 
 // Signal is what a worker says of its own state in a response header, beside its load, or
@@ -44,7 +44,7 @@
 
 // Leaving says that the worker is shutting down and wants no new requests.
 type Leaving struct {
-	Ending
+	DrainWindow
 	// From is FromResponse, FromStore or the VM that relayed the signal.
 	From string
 }
@@ -52,34 +52,34 @@
 // Rest says that the worker wants no requests from this VM for a time.
 type Rest struct{ For time.Duration }
 
-// Ended says that the worker's process seemed to have exited at a time, as seen by
+// SuspectedExit says that the worker's process seemed to have exited at a time, as seen by
 // another VM: all checked connections to it were closed, or its port refused connections.
-type Ended struct {
+type SuspectedExit struct {
 	At time.Time
-	// Returned is when a VM first received a response after the exit, zero if none did.
-	Returned time.Time
-	// Lived is a time during which the process is known not to have exited although
+	// RespondedAt is when a VM first received a response after the exit, zero if none did.
+	RespondedAt time.Time
+	// NoExitDuring is a time during which the process is known not to have exited although
 	// it had seemed to, zero if there is none.
-	Lived Span
-	// Doubtful is set if the only evidence is one closed connection, which may have failed
+	NoExitDuring Span
+	// Uncertain is set if the only evidence is one closed connection, which may have failed
 	// alone.
-	Doubtful bool
+	Uncertain bool
 }
 
-// Unsettled reports whether the store, which last confirmed the known entries at the
+// Unconfirmed reports whether the store, which last confirmed the known entries at the
 // given time, may not have reflected the exit yet. It ignores an uncertain exit unless the
 // store is silent.
-func (e Ended) Unsettled(confirmed, now time.Time) bool {
-	if e.Doubtful && now.Sub(confirmed) <= storeSilentAfter {
+func (e SuspectedExit) Unconfirmed(confirmed, now time.Time) bool {
+	if e.Uncertain && now.Sub(confirmed) <= storeSilentAfter {
 		return false
 	}
-	last := later(later(e.At, e.Returned), e.Lived.To)
+	last := later(later(e.At, e.RespondedAt), e.NoExitDuring.To)
 	return confirmed.Before(last.Add(startPropagation))
 }
 
-func (Leaving) isSignal() {}
-func (Ended) isSignal()   {}
-func (Rest) isSignal()    {}
+func (Leaving) isSignal()       {}
+func (SuspectedExit) isSignal() {}
+func (Rest) isSignal()          {}
 
 // signals is the state that one process of a worker has signaled.
 type signals struct {
@@ -97,12 +97,12 @@
 // isLeaving reports whether the worker is shutting down.
 func (s *signals) isLeaving() bool { return !s.leaving.Until.IsZero() }
 
-// Hear applies a signal. It reports whether the signal is the first one of its kind in
+// Observe applies a signal. It reports whether the signal is the first one of its kind in
 // force; for a rate limit, whether the limit begins, changes by much or ends. The result
 // doesn't depend on the order or repetition of signals: of several shutdown signals the
 // earliest deadline holds, since a worker doesn't cancel its shutdown, and a shorter rest
 // doesn't end a longer one.
-func (l *Load) Hear(signal Signal) (first bool) {
+func (l *Load) Observe(signal Signal) (first bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	switch s := signal.(type) {
@@ -111,13 +111,13 @@
 		if first || s.Until.Before(l.signals.leaving.Until) {
 			l.signals.leaving = s
 		}
-	case Ended:
+	case SuspectedExit:
 		first = l.observeExit(s)
 	case Rest:
 		first = l.signals.observeRest(min(s.For, maxRest), l.now())
 	case RateLimit:
 		first = l.signals.rate.observe(s, l.now())
-		if !first && !s.Named() {
+		if !first && !s.Finite() {
 			return false
 		}
 	}
@@ -127,16 +127,16 @@
 
 // observeExit applies an exit that another VM observed, the first response after it, or the
 // retraction of an earlier one.
-func (l *Load) observeExit(e Ended) (first bool) {
-	l.retractOutlivedExit(e.Lived)
+func (l *Load) observeExit(e SuspectedExit) (first bool) {
+	l.retractOutlivedExit(e.NoExitDuring)
 	if first = e.At.After(l.lastExit().Add(duplicateSignalWindow)) && !l.noExitDuring.contains(e.At); first {
 		l.recordExit(e.At)
 		l.uncertain = false
 		l.retractOutlivedExit(l.provenAlive)
 	}
 	noResponse := l.respondedAt.Before(l.lastExit())
-	if e.Returned.After(l.lastExit()) && (noResponse || e.Returned.Before(l.respondedAt)) {
-		l.respondedAt = e.Returned
+	if e.RespondedAt.After(l.lastExit()) && (noResponse || e.RespondedAt.Before(l.respondedAt)) {
+		l.respondedAt = e.RespondedAt
 	}
 	return first
 }
@@ -174,5 +174,5 @@
 // relevant reports whether the signals still matter. hasEntry is whether the store has an
 // entry of the worker.
 func (s *signals) relevant(hasEntry bool, now time.Time) bool {
-	return s.isLeaving() && (hasEntry || now.Sub(s.leaving.Heard) < leavingRetention) || now.Sub(s.resumeAt) < rampDuration || hasEntry && s.rate.shared(now)
+	return s.isLeaving() && (hasEntry || now.Sub(s.leaving.ObservedAt) < leavingRetention) || now.Sub(s.resumeAt) < rampDuration || hasEntry && s.rate.shared(now)
 }
--- a/state/worker/signal_test.go
+++ b/state/worker/signal_test.go
@@ -22,25 +22,25 @@
 		next := worker.Worker{ID: "w", Start: 2}
 		if rapid.Bool().Draw(t, "the store says so") {
 			first.Leaving = true
-			first.Ending.Until = start.Add(drawSeconds(t, "stored"))
+			first.DrainWindow.Until = start.Add(drawSeconds(t, "stored"))
 		}
-		earliest := first.Ending.Until
+		earliest := first.DrainWindow.Until
 		for range rapid.IntRange(1, 8).Draw(t, "words") {
 			until := start.Add(drawSeconds(t, "until"))
 			if earliest.IsZero() || until.Before(earliest) {
 				earliest = until
 			}
 			for range rapid.IntRange(1, 2).Draw(t, "times") {
-				loads.Of(first.Life()).Hear(worker.Leaving{Ending: worker.Ending{Heard: clock.Now(), Until: until}})
+				loads.GetOrCreate(first.Incarnation()).Observe(worker.Leaving{DrainWindow: worker.DrainWindow{ObservedAt: clock.Now(), Until: until}})
 			}
 			clock.Advance(rapid.SampledFrom([]time.Duration{0, time.Second, time.Minute}).Draw(t, "then"))
-			loads.Keep(func(id string) bool { return id == first.Life() })
+			loads.Prune(func(id string) bool { return id == first.Incarnation() })
 		}
 		leaving, leaves := loads.Leaving(&first)
 		if !leaves || !leaving.Until.Equal(earliest) {
 			t.Fatalf("leaving %t until %s, want %s", leaves, leaving.Until, earliest)
 		}
-		_, left := loads.Standing(&first, clock.Now()).(worker.Left)
+		_, left := loads.Availability(&first, clock.Now()).(worker.Departed)
 		if left == clock.Now().Before(earliest) {
 			t.Fatalf("departed %t, %s before the deadline", left, earliest.Sub(clock.Now()))
 		}
@@ -60,28 +60,28 @@
 		clock := clockwork.NewFakeClock()
 		loads := worker.NewLoads(clock.Now)
 		w := worker.Worker{ID: "w"}
-		load, end := loads.Of(w.Life()), clock.Now()
+		load, end := loads.GetOrCreate(w.Incarnation()), clock.Now()
 		longest := time.Duration(0)
 		for range rapid.IntRange(1, 6).Draw(t, "rests") {
 			rest := time.Duration(rapid.IntRange(1, 6000).Draw(t, "ms")) * time.Millisecond
 			longest = max(longest, rest)
-			load.Hear(worker.Rest{For: rest})
+			load.Observe(worker.Rest{For: rest})
 			if e := clock.Now().Add(rest); e.After(end) {
 				end = e
 			}
 			clock.Advance(time.Duration(rapid.IntRange(0, 500).Draw(t, "then")) * time.Millisecond)
 		}
 		for step := 10 * time.Millisecond; clock.Now().Before(end); clock.Advance(step) {
-			if _, rests := loads.Standing(&w, clock.Now()).(worker.Resting); !rests {
+			if _, rests := loads.Availability(&w, clock.Now()).(worker.Resting); !rests {
 				t.Fatalf("available %s before the rest ends", end.Sub(clock.Now()))
 			}
 		}
 		clock.Advance(min(longest/5, 500*time.Millisecond) + time.Millisecond)
-		if standing, ready := loads.Standing(&w, clock.Now()).(worker.Ready); !ready {
+		if standing, ready := loads.Availability(&w, clock.Now()).(worker.Ready); !ready {
 			t.Fatalf("%T after the rest, want Ready", standing)
 		}
 		load.Begin()
-		if _, rests := loads.Standing(&w, clock.Now()).(worker.Resting); !rests {
+		if _, rests := loads.Availability(&w, clock.Now()).(worker.Resting); !rests {
 			t.Fatal("two concurrent requests right after the rest")
 		}
 	})
@@ -92,10 +92,10 @@
 	clock := clockwork.NewFakeClock()
 	loads := worker.NewLoads(clock.Now)
 	w := worker.Worker{ID: "w"}
-	load := loads.Of(w.Life())
+	load := loads.GetOrCreate(w.Incarnation())
 	concurrentStarts := func() (n int) {
 		for n = 0; n < 100; n++ {
-			if _, ready := loads.Standing(&w, clock.Now()).(worker.Ready); !ready {
+			if _, ready := loads.Availability(&w, clock.Now()).(worker.Ready); !ready {
 				break
 			}
 			load.Begin()
@@ -105,16 +105,16 @@
 		}
 		return n
 	}
-	load.Hear(worker.Rest{For: time.Second})
-	load.Answered() // To a request sent before the rest.
+	load.Observe(worker.Rest{For: time.Second})
+	load.RecordResponse() // To a request sent before the rest.
 	clock.Advance(1200 * time.Millisecond)
 	for _, want := range []int{1, 2, 4, 8, 16, 100} {
 		if got := concurrentStarts(); got != want {
 			t.Errorf("%d concurrent requests, want %d", got, want)
 		}
-		load.Answered()
+		load.RecordResponse()
 	}
-	load.Hear(worker.Rest{For: time.Second})
+	load.Observe(worker.Rest{For: time.Second})
 	clock.Advance(1200 * time.Millisecond)
 	if got := concurrentStarts(); got != 1 {
 		t.Errorf("%d concurrent requests after the second rest, want 1", got)
@@ -130,13 +130,13 @@
 	clock := clockwork.NewFakeClock()
 	loads := worker.NewLoads(clock.Now)
 	w := worker.Worker{ID: "w"}
-	loads.Of(w.Life()).Hear(worker.Rest{For: 1<<63 - 1})
+	loads.GetOrCreate(w.Incarnation()).Observe(worker.Rest{For: 1<<63 - 1})
 	clock.Advance(4 * time.Minute)
-	if _, rests := loads.Standing(&w, clock.Now()).(worker.Resting); !rests {
+	if _, rests := loads.Availability(&w, clock.Now()).(worker.Resting); !rests {
 		t.Error("available after four minutes")
 	}
 	clock.Advance(2 * time.Minute)
-	if _, ready := loads.Standing(&w, clock.Now()).(worker.Ready); !ready {
+	if _, ready := loads.Availability(&w, clock.Now()).(worker.Ready); !ready {
 		t.Error("the rest is unbounded")
 	}
 }
@@ -146,15 +146,15 @@
 	clock := clockwork.NewFakeClock()
 	loads := worker.NewLoads(clock.Now)
 	w := worker.Worker{ID: "w", Start: 1}
-	loads.Of(w.Life()).Hear(worker.Leaving{Ending: worker.Ending{Heard: clock.Now(), Until: clock.Now().Add(time.Second)}})
+	loads.GetOrCreate(w.Incarnation()).Observe(worker.Leaving{DrainWindow: worker.DrainWindow{ObservedAt: clock.Now(), Until: clock.Now().Add(time.Second)}})
 	noEntry := func(string) bool { return false }
 	clock.Advance(time.Minute)
-	loads.Keep(noEntry)
+	loads.Prune(noEntry)
 	if _, leaves := loads.Leaving(&w); !leaves {
 		t.Error("pruned after a minute")
 	}
 	clock.Advance(2 * time.Minute)
-	loads.Keep(noEntry)
+	loads.Prune(noEntry)
 	if _, leaves := loads.Leaving(&w); leaves {
 		t.Error("never pruned")
 	}
--- a/state/worker/track.go
+++ b/state/worker/track.go
@@ -9,10 +9,10 @@
 	"slices"
 )
 
-// CanaryPart is the fraction of a service's keys, and of the new workers in each region,
+// CanaryFraction is the fraction of a service's keys, and of the new workers in each region,
 // that try out a new version. Using one fraction for both gives a canary about the load of
 // a stable worker, so that a version that fails under load is detected.
-const CanaryPart = 0.03
+const CanaryFraction = 0.03
 
 // Track selects the workers of a service that may get a request during a rollout.
 type Track uint8
@@ -43,7 +43,7 @@
 		var canaries []*Worker
 		for _, workers := range regions {
 			slices.SortFunc(workers, func(a, b *Worker) int { return cmp.Compare(b.Hash(), a.Hash()) })
-			canaries = append(canaries, workers[:int(math.Ceil(CanaryPart*float64(len(workers))))]...)
+			canaries = append(canaries, workers[:int(math.Ceil(CanaryFraction*float64(len(workers))))]...)
 		}
 		compareIDs := func(a, b *Worker) int { return cmp.Compare(a.ID, b.ID) }
 		slices.SortFunc(all, compareIDs)
--- a/state/worker/worker.go
+++ b/state/worker/worker.go
@@ -44,9 +44,9 @@
 	// Leaving is set if the worker is shutting down. It gets no new requests once
 	// DrainWindow has closed.
 	Leaving bool
-	// Ending is the time left for new requests while Leaving is set. The zero value
+	// DrainWindow is the time left for new requests while Leaving is set. The zero value
 	// leaves none.
-	Ending Ending
+	DrainWindow DrainWindow
 	// ColdUntil is when the worker has warmed up; the zero time means it is warm.
 	ColdUntil time.Time
 	// Confirmed is when the store last contained the entry, if it has been missing since.
@@ -63,17 +63,17 @@
 	incarnation string
 }
 
-// Ending is the time during which a worker that is shutting down, or whose hall is being
+// DrainWindow is the time during which a worker that is shutting down, or whose hall is being
 // closed, may still get requests.
-type Ending struct {
-	// Heard is when this VM learned of the shutdown or closing.
-	Heard time.Time
+type DrainWindow struct {
+	// ObservedAt is when this VM learned of the shutdown or closing.
+	ObservedAt time.Time
 	// Until is the end of the window.
 	Until time.Time
 }
 
 // Open reports whether the worker may still get requests.
-func (e Ending) Open(now time.Time) bool { return now.Before(e.Until) }
+func (e DrainWindow) Open(now time.Time) bool { return now.Before(e.Until) }
 
 // Hash returns a hash of the ID, which ranks workers for a key. NewSet and SetHash compute
 // it.
@@ -84,9 +84,9 @@
 	w.hash, w.incarnation = xxhash.Sum64String(w.ID), incarnationID(w.ID, w.Start)
 }
 
-// Life returns an ID of the worker's current process. Observations of a process are
+// Incarnation returns an ID of the worker's current process. Observations of a process are
 // stored and sent to peers under this ID, so that they don't apply to its successor.
-func (w *Worker) Life() string {
+func (w *Worker) Incarnation() string {
 	if w.incarnation == "" {
 		return incarnationID(w.ID, w.Start)
 	}
@@ -139,7 +139,7 @@
 			s.leaving = append(s.leaving, w)
 		}
 		if w.Start > 0 {
-			s.byIncarnation[w.Life()] = w
+			s.byIncarnation[w.Incarnation()] = w
 		}
 	}
 	compareIDs := func(a, b *Worker) int { return cmp.Compare(a.ID, b.ID) }
@@ -162,8 +162,8 @@
 	return w, ok
 }
 
-// Life returns the worker whose current process has the given incarnation ID.
-func (s *Set) Life(id string) (*Worker, bool) {
+// ByIncarnation returns the worker whose current process has the given incarnation ID.
+func (s *Set) ByIncarnation(id string) (*Worker, bool) {
 	if w, ok := s.byIncarnation[id]; ok {
 		return w, true
 	}
@@ -171,9 +171,9 @@
 	return w, ok && w.Start == 0
 }
 
-// Living reports whether a worker with the given incarnation ID exists.
-func (s *Set) Living(id string) bool {
-	_, ok := s.Life(id)
+// HasIncarnation reports whether a worker with the given incarnation ID exists.
+func (s *Set) HasIncarnation(id string) bool {
+	_, ok := s.ByIncarnation(id)
 	return ok
 }
 
--- a/state/worker/worker_test.go
+++ b/state/worker/worker_test.go
@@ -18,7 +18,7 @@
 	Convey("A load", t, func() {
 		clock := clockwork.NewFakeClock()
 		loads := worker.NewLoads(clock.Now)
-		load := loads.Of("w1")
+		load := loads.GetOrCreate("w1")
 		Convey("counts this VM's requests in flight", func() {
 			load.Begin()
 			load.Begin()
@@ -28,7 +28,7 @@
 		Convey("adds the reported requests of other VMs, weighted by age", func() {
 			load.Begin()
 			load.Begin()
-			load.Told(4, 1) // One of this VM's two requests remains, four are from other VMs.
+			load.RecordReport(4, 1) // One of this VM's two requests remains, four are from other VMs.
 			load.End()
 			So(load.Busy(), ShouldEqual, 5)
 			clock.Advance(time.Second)
@@ -37,23 +37,23 @@
 			So(load.Busy(), ShouldEqual, 1)
 		})
 		Convey("doubles the pause with each failure, and ends it on a response", func() {
-			load.Failed()
+			load.RecordFailure()
 			So(load.Paused(), ShouldBeTrue)
 			clock.Advance(500 * time.Millisecond)
 			So(load.Paused(), ShouldBeFalse)
-			load.Failed()
+			load.RecordFailure()
 			clock.Advance(500 * time.Millisecond)
 			So(load.Paused(), ShouldBeTrue)
-			load.Answered()
+			load.RecordResponse()
 			So(load.Paused(), ShouldBeFalse)
 		})
 		Convey("is pruned only without requests in flight", func() {
 			load.Begin()
-			loads.Keep(func(string) bool { return false })
-			So(loads.Of("w1"), ShouldEqual, load)
+			loads.Prune(func(string) bool { return false })
+			So(loads.GetOrCreate("w1"), ShouldEqual, load)
 			load.End()
-			loads.Keep(func(string) bool { return false })
-			So(loads.Of("w1"), ShouldNotEqual, load)
+			loads.Prune(func(string) bool { return false })
+			So(loads.GetOrCreate("w1"), ShouldNotEqual, load)
 		})
 	})
 }
@@ -63,30 +63,30 @@
 	clock := clockwork.NewFakeClock()
 	loads := worker.NewLoads(clock.Now)
 	for range 10 {
-		loads.Of("sound").Outcome(false)
-		loads.Of("old").Outcome(false)
+		loads.GetOrCreate("sound").RecordOutcome(false)
+		loads.GetOrCreate("old").RecordOutcome(false)
 	}
 	clock.Advance(20 * time.Second)
 	for range 3 {
-		loads.Of("new").Outcome(false)
+		loads.GetOrCreate("new").RecordOutcome(false)
 	}
-	loads.Of("old").Outcome(true)
-	loads.Of("new").Outcome(true)
-	loads.Of("new").Outcome(true)
-	drained := loads.TakeOutcomes(10)
-	want := map[string]worker.Outcomes{"old": {Answered: 0, Failed: 1}, "new": {Answered: 3, Failed: 2}}
+	loads.GetOrCreate("old").RecordOutcome(true)
+	loads.GetOrCreate("new").RecordOutcome(true)
+	loads.GetOrCreate("new").RecordOutcome(true)
+	drained := loads.DrainOutcomes(10)
+	want := map[string]worker.Outcomes{"old": {Succeeded: 0, Failed: 1}, "new": {Succeeded: 3, Failed: 2}}
 	if !maps.Equal(drained, want) {
 		t.Errorf("drained %v, want %v", drained, want)
 	}
-	if again := loads.TakeOutcomes(10); len(again) != 0 {
+	if again := loads.DrainOutcomes(10); len(again) != 0 {
 		t.Errorf("drained again: %v", again)
 	}
-	loads.Of("a").Outcome(true)
-	loads.Of("b").Outcome(true)
-	if first := loads.TakeOutcomes(1); len(first) != 1 {
+	loads.GetOrCreate("a").RecordOutcome(true)
+	loads.GetOrCreate("b").RecordOutcome(true)
+	if first := loads.DrainOutcomes(1); len(first) != 1 {
 		t.Errorf("%d workers, want 1", len(first))
 	}
-	if rest := loads.TakeOutcomes(1); len(rest) != 1 {
+	if rest := loads.DrainOutcomes(1); len(rest) != 1 {
 		t.Errorf("%d workers remain, want 1", len(rest))
 	}
 }
--- a/state/workspace/workspace.go
+++ b/state/workspace/workspace.go
@@ -97,8 +97,8 @@
 	Burst float64
 }
 
-// None reports whether there is no limit.
-func (l Limit) None() bool { return l.Rate <= 0 }
+// Unlimited reports whether there is no limit.
+func (l Limit) Unlimited() bool { return l.Rate <= 0 }
 
 // Directory finds workspaces by key or name. It is safe for concurrent use.
 type Directory struct {
@@ -149,8 +149,8 @@
 	return nil
 }
 
-// Find returns the workspace that has a key. A nil directory has no workspaces.
-func (d *Directory) Find(key Digest) (*Workspace, bool) {
+// FindByKey returns the workspace that has a key. A nil directory has no workspaces.
+func (d *Directory) FindByKey(key Digest) (*Workspace, bool) {
 	if d == nil {
 		return nil, false
 	}
@@ -158,8 +158,8 @@
 	return w, ok
 }
 
-// Named returns the workspace with a name. A nil directory has no workspaces.
-func (d *Directory) Named(name string) (*Workspace, bool) {
+// FindByName returns the workspace with a name. A nil directory has no workspaces.
+func (d *Directory) FindByName(name string) (*Workspace, bool) {
 	if d == nil {
 		return nil, false
 	}
@@ -167,10 +167,10 @@
 	return w, ok
 }
 
-// Bound returns, by region, the fraction of all requests that must run there because of
+// HomeShares returns, by region, the fraction of all requests that must run there because of
 // home regions, estimated from the rate limits. A workspace with several homes counts for
 // each in equal parts. A nil directory returns an empty map.
-func (d *Directory) Bound() map[string]float64 {
+func (d *Directory) HomeShares() map[string]float64 {
 	shares := make(map[string]float64)
 	if d == nil {
 		return shares
--- a/state/workspace/workspace_test.go
+++ b/state/workspace/workspace_test.go
@@ -23,16 +23,16 @@
 		t.Fatal(err)
 	}
 	for key, want := range map[string]string{"k1": "schools", "k2": "schools", "k3": "parents", "k4": "", "": ""} {
-		w, ok := d.Find(workspace.DigestOf(key))
+		w, ok := d.FindByKey(workspace.DigestOf(key))
 		if w.Name() != want || ok != (want != "") {
 			t.Errorf("key %q finds workspace %q, want %q", key, w.Name(), want)
 		}
 	}
-	w, _ := d.Find(workspace.DigestOf("k1"))
+	w, _ := d.FindByKey(workspace.DigestOf("k1"))
 	if w.Limit() != (workspace.Limit{Rate: 5, Burst: 2}) || w.Priority() != 1 || !w.AllowsRegion("north") || w.AllowsRegion("south") {
 		t.Errorf("got %+v", w)
 	}
-	if _, ok := (*workspace.Directory)(nil).Find(workspace.DigestOf("k1")); ok {
+	if _, ok := (*workspace.Directory)(nil).FindByKey(workspace.DigestOf("k1")); ok {
 		t.Error("a nil directory finds a key")
 	}
 }
@@ -91,7 +91,7 @@
 		b.Fatal(err)
 	}
 	for i := 0; b.Loop(); i++ {
-		if _, ok := d.Find(workspace.DigestOf(list[i%len(list)].Keys[0])); !ok {
+		if _, ok := d.FindByKey(workspace.DigestOf(list[i%len(list)].Keys[0])); !ok {
 			b.Fatal("key not found")
 		}
 	}
@@ -108,10 +108,10 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if shares := d.Bound(); len(shares) != 2 || shares["north"] != 0.25 || shares["south"] != 0.15 {
+	if shares := d.HomeShares(); len(shares) != 2 || shares["north"] != 0.25 || shares["south"] != 0.15 {
 		t.Errorf("got %v", shares)
 	}
-	if shares := (*workspace.Directory)(nil).Bound(); len(shares) != 0 {
+	if shares := (*workspace.Directory)(nil).HomeShares(); len(shares) != 0 {
 		t.Errorf("got %v for a nil directory", shares)
 	}
 }
--- a/transport/ingress/identify.go
+++ b/transport/ingress/identify.go
@@ -93,10 +93,10 @@
 		return false
 	}
 	digest := workspace.DigestOf(key)
-	found, ok := directory.Find(digest)
+	found, ok := directory.FindByKey(digest)
 	if !ok && !q.route.Public {
 		q.handler.cfg.Keys.Renew(q.in.Context(), digest)
-		found, ok = q.handler.cfg.Snapshot().Routes.Workspaces().Find(digest)
+		found, ok = q.handler.cfg.Snapshot().Routes.Workspaces().FindByKey(digest)
 	}
 	q.note("key", digest.String())
 	if ok {
--- a/transport/ingress/losses_test.go
+++ b/transport/ingress/losses_test.go
@@ -78,7 +78,7 @@
 					requests = 2 * slots
 				}
 				for range requests {
-					f.loads.Of(id).Begin()
+					f.loads.GetOrCreate(id).Begin()
 				}
 			}
 			if r := f.ask(http.MethodPost, "/keyed/", "2", "", "Key", "k"); r.status != http.StatusServiceUnavailable {
--- a/transport/ingress/outcome_test.go
+++ b/transport/ingress/outcome_test.go
@@ -36,7 +36,7 @@
 			f.ask(http.MethodPost, "/pay/", "1", "", "Wait", "300")
 			var got worker.Outcomes
 			for range 30 { // The answer may be with the client first.
-				if got = f.loads.TakeOutcomes(10)["w0"]; got != (worker.Outcomes{}) {
+				if got = f.loads.DrainOutcomes(10)["w0"]; got != (worker.Outcomes{}) {
 					break
 				}
 				time.Sleep(10 * time.Millisecond)
--- a/transport/ingress/quarantine.go
+++ b/transport/ingress/quarantine.go
@@ -90,7 +90,7 @@
 // noteHangUp notes that a worker ended the connection while it had this request: its
 // process may have ended, and the request may be why.
 func (q *request) noteHangUp(c placement.Choice) {
-	w, others := c.Worker(), c.Load().Own()-1
+	w, others := c.Worker(), c.Load().InFlight()-1
 	q.handler.cfg.Metrics.HungUp(w.Service)
 	q.note("worker hung up", fmt.Sprintf("%s at %s, %d others of this VM there", q.fingerprint(), w.ID, others))
 	q.handler.cfg.Quarantine.HungUp(poison.HangUp{
--- a/transport/ingress/signals.go
+++ b/transport/ingress/signals.go
@@ -21,12 +21,12 @@
 func (q *request) hear(c placement.Choice, status int, header http.Header) (waiting int) {
 	cfg := &q.handler.cfg
 	if running, queued, ok := cfg.Dialect.Load(header); ok {
-		c.Load().Told(running, queued)
+		c.Load().RecordReport(running, queued)
 		waiting = queued
 	}
 	if cfg.Dialect.Leaving(header) {
 		now := cfg.Now()
-		q.hearSignal(c, worker.Leaving{Ending: worker.Ending{Heard: now, Until: now.Add(cfg.LeaveWithin)}, From: worker.FromAnswer})
+		q.hearSignal(c, worker.Leaving{DrainWindow: worker.DrainWindow{ObservedAt: now, Until: now.Add(cfg.LeaveWithin)}, From: worker.FromResponse})
 	}
 	if rest, asked := cfg.Dialect.Rest(status, header); asked {
 		q.hearSignal(c, worker.Rest{For: rest})
@@ -40,11 +40,11 @@
 func (q *request) hearLimit(c placement.Choice, status int, header http.Header) {
 	cfg := &q.handler.cfg
 	perS, err := cfg.Dialect.RateLimit(header)
-	limit := worker.RateLimit{PerS: perS, Sent: q.sent, Heard: cfg.Now(), From: worker.FromAnswer}
+	limit := worker.RateLimit{PerSecond: perS, SentAt: q.sent, ReceivedAt: cfg.Now(), From: worker.FromResponse}
 	switch {
 	case err != nil:
 		q.note("signal", c.Worker().ID+" names a limit that cannot be read: "+err.Error())
-	case limit.Named() || status < http.StatusMultipleChoices:
+	case limit.Finite() || status < http.StatusMultipleChoices:
 		q.hearSignal(c, limit)
 	}
 }
@@ -52,14 +52,14 @@
 // hearSignal takes in one signal, notes it of the request and, if it is the first of
 // its kind that holds, logs it.
 func (q *request) hearSignal(c placement.Choice, signal worker.Signal) {
-	w, first := c.Worker(), c.Load().Hear(signal)
+	w, first := c.Worker(), c.Load().Observe(signal)
 	metrics := q.handler.cfg.Metrics
 	switch s := signal.(type) {
 	case worker.Leaving:
 		q.note("signal", w.ID+" says that it leaves")
 		if first {
 			metrics.SaidLeaving(w.Service)
-			q.logSignal("workers: one says that it leaves", w, "leaving_in_store", w.Leaving, "gets_requests_for_ms", s.Until.Sub(s.Heard).Milliseconds())
+			q.logSignal("workers: one says that it leaves", w, "leaving_in_store", w.Leaving, "gets_requests_for_ms", s.Until.Sub(s.ObservedAt).Milliseconds())
 		}
 	case worker.Rest:
 		q.note("signal", fmt.Sprintf("%s asks for %s of rest", w.ID, s.For.Round(time.Millisecond)))
@@ -68,8 +68,8 @@
 			q.logSignal("workers: one asks for rest", w, "for_ms", s.For.Milliseconds())
 		}
 	case worker.RateLimit:
-		if s.Named() {
-			q.note("signal", fmt.Sprintf("%s takes %.1f a second from all VMs", w.ID, s.PerS))
+		if s.Finite() {
+			q.note("signal", fmt.Sprintf("%s takes %.1f a second from all VMs", w.ID, s.PerSecond))
 			metrics.NamedLimit(w.Service)
 		}
 		if first {
@@ -80,8 +80,8 @@
 
 // logLimit writes that a worker begins or ceases to name a limit, or names another one.
 func (q *request) logLimit(w worker.Worker, r worker.RateLimit) {
-	if r.Named() {
-		q.logSignal("workers: one takes a limited rate from all VMs", w, "per_s", r.PerS)
+	if r.Finite() {
+		q.logSignal("workers: one takes a limited rate from all VMs", w, "per_s", r.PerSecond)
 		return
 	}
 	q.logSignal("workers: one no longer names a limit", w)
--- a/transport/ingress/signals_test.go
+++ b/transport/ingress/signals_test.go
@@ -130,8 +130,8 @@
 			for next = range c.answers {
 				f.ask(http.MethodPost, "/pay/a", strconv.Itoa(next), "body", "Wait", "400")
 			}
-			last := f.loads.Of("w0").RateLimit()
-			if last.Named() != c.limited || c.limited && last.PerS != named {
+			last := f.loads.GetOrCreate("w0").RateLimit()
+			if last.Finite() != c.limited || c.limited && last.PerSecond != named {
 				t.Errorf("%+v, want a limit: %t", last, c.limited)
 			}
 		})
--- a/transport/ingress/start_test.go
+++ b/transport/ingress/start_test.go
@@ -73,7 +73,7 @@
 		if r := f.ask(http.MethodPost, "/pay/", fmt.Sprint(round), ""); r.status != http.StatusOK {
 			t.Fatalf("round %d: status %d", round, r.status)
 		}
-		for id, o := range f.loads.TakeOutcomes(gone) {
+		for id, o := range f.loads.DrainOutcomes(gone) {
 			if o.Failed != 1 {
 				t.Errorf("%s: %+v, want one failure for other VMs to hear of", id, o)
 			}
--- a/transport/ingress/try.go
+++ b/transport/ingress/try.go
@@ -89,9 +89,9 @@
 // holds its key.
 func (q *request) meterRefusal(c placement.Choice) {
 	if considered := c.Considered(); len(considered) > 0 {
-		meter := q.handler.cfg.Meters.Of(considered[0].Hall)
+		meter := q.handler.cfg.Meters.Meter(considered[0].Hall)
 		meter.Begin(q.service)
-		meter.End(q.service, load.Event{Refused: true})
+		meter.End(q.service, load.RequestResult{Refused: true})
 	}
 }
 
@@ -116,12 +116,14 @@
 func (q *request) try(ctx context.Context, s *placement.Snapshot, c placement.Choice, number int) (*failure, *placement.Choice) {
 	w := c.Worker()
 	q.tried = append(q.tried, w.ID)
-	q.newKey = q.keyed && !q.handler.losses.sent(w.Life(), q.key)
+	q.newKey = q.keyed && !q.handler.losses.sent(w.Incarnation(), q.key)
 	held := c.Load()
 	defer held.End()
-	meter := q.handler.cfg.Meters.Of(w.Hall)
+	meter := q.handler.cfg.Meters.Meter(w.Hall)
 	meter.Begin(w.Service)
-	defer func() { meter.End(w.Service, load.Event{Moved: c.Moved(), Bytes: max(q.body.length, 0) + q.answered}) }()
+	defer func() {
+		meter.End(w.Service, load.RequestResult{Moved: c.Moved(), Bytes: max(q.body.length, 0) + q.answered})
+	}()
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
 	versioned := q.sentTo(c)
@@ -140,20 +142,20 @@
 	defer answer.Close()
 	q.waiting = q.hear(c, answer.Status(), answer.Header())
 	if answer.Renewed() {
-		held.Ended()
+		held.RecordAllConnectionsClosed()
 	}
-	held.Proved(answer.Opened())
-	held.Outcome(failing(answer.Status()))
+	held.ConfirmAlive(answer.Opened())
+	held.RecordOutcome(failing(answer.Status()))
 	q.noteAnswer(answer.Status())
-	q.handler.cfg.Demand.Served(w.Service, q.since(q.sent))
+	q.handler.cfg.Demand.RecordLatency(w.Service, q.since(q.sent))
 	if err := q.passOn(answer); err != nil {
-		held.Failed()
+		held.RecordFailure()
 		failed := &failure{cause: retry.CauseBroken, err: err}
 		versioned.failed(failed)
 		return failed, nil
 	}
 	versioned.answered(answer.Status())
-	held.Answered()
+	held.RecordResponse()
 	return nil, nil
 }
 
@@ -242,27 +244,27 @@
 		f.cause = retry.CauseShed
 	case upstream.KindLeaving:
 		f.cause = retry.CauseLeaving
-		c.Load().Failed()
+		c.Load().RecordFailure()
 	case upstream.KindUnreachable:
 		f.cause = retry.CauseUnreachable
 		if !left {
-			c.Load().Failed()
-			c.Load().Outcome(true)
+			c.Load().RecordFailure()
+			c.Load().RecordOutcome(true)
 		}
 		if errors.Is(err, syscall.ECONNREFUSED) {
-			c.Load().Refused()
+			c.Load().RecordConnectionRefused()
 		}
 	case upstream.KindOther:
 		f.cause = retry.CauseUnreachable
-		c.Load().Gone()
+		c.Load().MarkAddressReused()
 	case upstream.KindBroken:
 		if !left {
-			c.Load().Failed()
-			c.Load().Outcome(!ranOut(err))
+			c.Load().RecordFailure()
+			c.Load().RecordOutcome(!ranOut(err))
 		}
 		if !left && failed.HungUp() {
 			f.hungUp = true
-			c.Load().HungUp()
+			c.Load().RecordConnectionClosed()
 			q.noteHangUp(c)
 		}
 	case upstream.KindBody:
--- a/transport/ingress/versions.go
+++ b/transport/ingress/versions.go
@@ -61,7 +61,7 @@
 	}
 	w, considered := c.Worker(), c.Considered()
 	cold := len(considered) > 0 && considered[len(considered)-1].Cold
-	return versionedTry{try: q.share.RecordSent(q.track, q.route.Name, w.Life(), q.key), cold: cold}
+	return versionedTry{try: q.share.RecordSent(q.track, q.route.Name, w.Incarnation(), q.key), cold: cold}
 }
 
 // answered notes the status of a whole answer.
--- a/transport/relay/engine.go
+++ b/transport/relay/engine.go
@@ -138,7 +138,7 @@
 }
 
 func (e *Engine) account(r *Request, out served, took time.Duration) {
-	e.cfg.Meter.End(r.Service, load.Event{
+	e.cfg.Meter.End(r.Service, load.RequestResult{
 		Moved:   out.moved,
 		Refused: out.notRun(),
 		Bytes:   out.bytes + max(r.Body.length, 0),
