--- a/scripts/switch-off.sh
+++ b/scripts/switch-off.sh
@@ -72,9 +72,9 @@
 off grant-lapse coordination/capacity/grant.go 'if !now.Before(g.lapses) {' 'if false && !now.Before(g.lapses) {' ./coordination/capacity TestGrantLapses
 off holder-looks-at-clock coordination/capacity/holder.go 'if g.inUse < g.Slots && now.Before(g.Ends) &&' 'if g.inUse < g.Slots && now.Before(now.Add(1)) &&' ./coordination/capacity TestGrantLapses
 off own-callers-first coordination/capacity/pool.go 'if p.inUse >= usable || len' 'if p.inUse+p.lent() >= usable || len' ./coordination/capacity TestIdleLentSlots
-off late-answer transport/upstream/exchange.go 'if x.client.cfg.Dialect.Belongs(x.req, res) {' 'if true || late < 0 {' ./transport/upstream TestLateAnswerIsPassedOver
-off nameless-answer transport/upstream/exchange.go 'keep := !nameless && ' 'keep := (nameless || !nameless) && ' ./transport/upstream TestAnotherWorkerHasTheAddress
-off announced-keep-alive transport/upstream/conn.go 'c.idleFor = min(c.idleFor, limit-limit/margin)' '_ = limit' ./transport/upstream TestAnnouncedKeepAliveIsHeeded
+off late-answer transport/upstream/exchange.go 'if x.client.cfg.Dialect.Belongs(x.req, res) {' 'if true || stale < 0 {' ./transport/upstream TestStaleResponseIsSkipped
+off nameless-answer transport/upstream/exchange.go 'reuse := !unmatched && ' 'reuse := (unmatched || !unmatched) && ' ./transport/upstream TestMisdirectedResponse
+off announced-keep-alive transport/upstream/conn.go 'c.idleTimeout = min(c.idleTimeout, limit-limit/marginDivisor)' '_ = limit' ./transport/upstream TestKeepAliveTimeoutIsHonored
 off once-not-again transport/ingress/try.go 'Repeatable: q.route.Repeatable, BodyGone' 'Repeatable: true, BodyGone' ./transport/ingress TestSendingAgain
 off answer-not-whole transport/ingress/answer.go 'panic(http.ErrAbortHandler)' 'return' ./transport/ingress TestBrokenAnswerDoesNotLookWhole
 off stopping-waits-on transport/ingress/try.go 'if q.handler.stopping.Load() {' 'if false && q.handler.stopping.Load() {' ./transport/ingress TestTimes
@@ -127,8 +127,8 @@
 		d.Events = k.changedAfter(revision)' 'd.Full, d.Since = true, 0
 		d.Events = k.changedAfter(0)' ./internal/gateway TestRegionKeepsUp state/object/replica.go 'case k.remembers(revision):' 'case false:'
 off link-pacing coordination/link/link.go 'if limiter == nil {' 'if limiter != nil || limiter == nil {' ./internal/fleet TestLinkLimitHolds
-off surplus-answer transport/upstream/exchange.go 'b.exchange.end(keep && b.exchange.conn.reader.Buffered() == 0)' 'b.exchange.end(keep)' ./transport/upstream TestSurplusAnswer transport/upstream/conn.go 'return !c.spoilt' 'return true'
-off unknown-end transport/upstream/exchange.go 'if lengthless && !x.client' 'if false && !x.client' ./transport/upstream TestBrokenAnswers
+off surplus-answer transport/upstream/exchange.go 'b.exchange.release(reuse && b.exchange.conn.reader.Buffered() == 0)' 'b.exchange.release(reuse)' ./transport/upstream TestSurplusResponse transport/upstream/conn.go 'return !c.unusable' 'return true'
+off unknown-end transport/upstream/exchange.go 'if closeDelimited && !x.client' 'if false && !x.client' ./transport/upstream TestIncompleteResponses
 off broken-is-broken transport/entry/entry.go 'panic(http.ErrAbortHandler)
 	}
 	h.refuse' 'return
@@ -136,7 +136,7 @@
 	h.refuse' ./internal/program TestSessions/broken
 off attempt-table state/attempt/attempt.go 'if c, ok := s.records[ticket.nonce]; ok {' 'if c, ok := s.records[ticket.nonce]; ok && false {' ./state/attempt 'TestTicketRuns|TestOnlyOne'
 off start-number state/attempt/attempt.go 'if ticket.start != t.cfg.Start {' 'if false {' ./internal/program TestSessions/once
-off fresh-connection transport/upstream/exchange.go 'c.connect(ctx, w, req.Once)' 'c.connect(ctx, w, false)' ./transport/upstream TestOnceNever
+off fresh-connection transport/upstream/exchange.go 'c.connect(ctx, w, req.Once)' 'c.connect(ctx, w, false)' ./transport/upstream TestAtMostOnceOpens
 off no-retry-after-send coordination/retry/retry.go 'case !t.NotRun && !t.Repeatable:' 'case false:' ./internal/program TestSessions/once
 off used-ticket-at-the-door transport/relay/engine.go 'failure = e.refuseTicket(r, failure)' '' ./internal/program TestSessions/stop
 off leaving-sticky coordination/capacity/worker.go 'w.leaving = w.leaving || r.Leaving ||' 'w.leaving = r.Leaving ||' ./coordination/capacity TestLeavingIsSticky
@@ -199,5 +199,5 @@
 off rollout-waits-for-all coordination/rollout/decider.go 'case proved < in.VMs:' 'case false:' ./coordination/rollout TestVMsThatAreNotReached
 off rollout-closes coordination/rollout/share.go 's.phase == rollout.PhaseProved && !s.step.Closed' 's.phase == rollout.PhaseProved' ./coordination/rollout TestOldWorkersServe
 off list-read-once internal/gateway/watch.go 'if !known || content == c.listed {' 'if !known {' ./internal/gateway TestListOfVMsIsRead
-off given-up-is-reset transport/upstream/conn.go '_ = tcp.SetLinger(0)' '_ = tcp' ./transport/upstream TestRequestThatWasGivenUp
+off given-up-is-reset transport/upstream/conn.go '_ = tcp.SetLinger(0)' '_ = tcp' ./transport/upstream TestCancelResetsConnection
 exit $missed
--- a/transport/upstream/abandon_test.go
+++ b/transport/upstream/abandon_test.go
@@ -17,19 +17,16 @@
 	"github.com/ryehill/ryehill/transport/upstream"
 )
 
-// What a VM has sent of a request that it gives up may lie in between for long, say where a
-// hall was cut off. It must not reach the worker later, when another one has served the
-// request, or the hall is closed: the system would go on sending it after the connection was
-// closed.
-func TestRequestThatWasGivenUpIsNotSentLater(t *testing.T) {
-	const body = 8 << 20 // More than the system takes in.
+// Guards against the operating system delivering buffered data of a canceled request later.
+func TestCancelResetsConnection(t *testing.T) {
+	const body = 8 << 20 // more than the socket buffers hold
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer listener.Close()
 	client := upstream.New(upstream.Config{Progress: 2 * time.Second})
-	ctx, giveUp := context.WithCancel(context.Background())
+	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan error, 1)
 	go func() {
 		_, err := client.Do(ctx, upstream.Worker{ID: "w", Address: listener.Addr().String()}, &upstream.Request{
@@ -42,13 +39,13 @@
 		t.Fatal(err)
 	}
 	defer worker.Close()
-	time.Sleep(100 * time.Millisecond) // It fills what lies in between.
-	giveUp()
+	time.Sleep(100 * time.Millisecond) // Let the client fill the socket buffers.
+	cancel()
 	if err := <-ended; err == nil {
-		t.Fatal("a request that was given up was answered")
+		t.Fatal("a canceled request got a response")
 	}
 	_ = worker.SetReadDeadline(time.Now().Add(5 * time.Second))
 	if _, err := io.Copy(io.Discard, worker); !errors.Is(err, syscall.ECONNRESET) {
-		t.Errorf("the worker reads on until %v, want a reset", err)
+		t.Errorf("read at the worker ended with %v, want a connection reset", err)
 	}
 }
--- a/transport/upstream/client.go
+++ b/transport/upstream/client.go
@@ -3,24 +3,23 @@
 
 // Package upstream sends requests to upstreams over HTTP/1.1.
 //
-// It does not use http.Transport, for that sends a request a second time on its
-// own when a kept connection breaks, also one with an Idempotency-Key header.
-// Here one call is one try: whether a byte was given to the upstream is known
-// exactly and is part of every error.
+// It does not use http.Transport, which resends a request on its own when an
+// idle connection turns out to be closed, even a POST with an Idempotency-Key
+// header. Here one call is one attempt, and every error says whether any byte
+// of the request was written to the upstream.
 //
-// A connection is used again only after an exchange that both sides ended in
-// full. One that saw a late, broken or surplus answer is closed, so that no
-// answer can reach a request that it does not belong to. A request that may not
-// be repeated always gets a new connection, since a kept one may have been
-// closed by the upstream at that moment, and nobody could tell whether the
-// request was run.
+// A connection is reused only after both sides completed the exchange. A
+// connection that carried an incomplete or surplus response is closed, so that
+// no response reaches a request it does not belong to. An at-most-once request
+// uses a new connection by default: the upstream may be closing an idle one at
+// that moment, and it would be unknown whether the request was run.
 //
 // # Usage
 //
 //	client := upstream.New(upstream.Config{})
-//	answer, err := client.Do(ctx, worker, request)
-//	defer answer.Close()
-//	io.Copy(w, answer.Body())
+//	response, err := client.Do(ctx, worker, request)
+//	defer response.Close()
+//	io.Copy(w, response.Body())
 package upstream
 
 import (
@@ -34,8 +33,8 @@
 	"github.com/cockroachdb/errors"
 )
 
-// HeaderRefused is how an upstream says that it did not run a request. It comes
-// with status 503 and one of the values below.
+// HeaderRefused is the response header by which an upstream declares that it
+// did not run a request. It is sent with status 503 and one of the values below.
 const HeaderRefused = "Upstream-Refused"
 
 // Values of HeaderRefused.
@@ -44,73 +43,76 @@
 	RefusedLeaving = "leaving"
 )
 
-// HeaderTimeout tells the upstream how many milliseconds are left.
+// HeaderTimeout is the request header with the remaining time in milliseconds.
 const HeaderTimeout = "Request-Timeout-Ms"
 
-// Kind says how a try failed.
+// Kind classifies a failed attempt.
 type Kind int
 
 // Kinds of failure.
 const (
-	// KindUnreachable means that no connection could be opened.
+	// KindUnreachable means that no connection could be established.
 	KindUnreachable Kind = iota
-	// KindBusy means that all connections to the worker are in use.
+	// KindBusy means that the worker's connection limit is reached and all
+	// connections are in use.
 	KindBusy
-	// KindShed means that the upstream refused for lack of room.
+	// KindShed means that the upstream refused the request because of overload.
 	KindShed
-	// KindLeaving means that the upstream refused since it leaves.
+	// KindLeaving means that the upstream refused the request because it is
+	// shutting down.
 	KindLeaving
-	// KindBroken means that the exchange broke off or ran out of time.
+	// KindBroken means that the exchange was interrupted or timed out.
 	KindBroken
-	// KindBody means that the caller's body could not be read to its end.
+	// KindBody means that reading the request body from the caller failed.
 	KindBody
-	// KindOther means that another worker has the address.
+	// KindOther means that a different worker now serves at the address.
 	KindOther
 )
 
-// String returns the kind's name as used in metrics.
+// String returns the name of the kind as used in metrics.
 func (k Kind) String() string {
 	return [...]string{"unreachable", "busy", "shed", "leaving", "broken", "body", "other-worker"}[k]
 }
 
-// Error is a failed try.
+// Error describes a failed attempt.
 type Error struct {
-	kind   Kind
-	notRun bool
-	hungUp bool
-	// renewed is set if all kept connections had been closed by the upstream.
-	renewed bool
-	step    string
-	worker  string
-	cause   error
-	header  http.Header
-	// status is that of a refusal by the upstream, or 0.
+	kind       Kind
+	notRun     bool
+	peerClosed bool
+	// reconnected is set if the upstream had closed the idle connections that
+	// were tried first.
+	reconnected bool
+	step        string
+	worker      string
+	cause       error
+	header      http.Header
+	// status is the HTTP status of a refusal by the upstream, or 0.
 	status int
 }
 
-// Kind returns how the try failed.
+// Kind returns the classification of the failure.
 func (e *Error) Kind() Kind { return e.kind }
 
-// NotRun reports whether it is certain that the upstream did not run it: no
-// byte of the request was given to it, or it said so.
+// NotRun reports whether the upstream certainly did not run the request: no
+// byte of it was written to the connection, or the upstream declared so.
 func (e *Error) NotRun() bool { return e.notRun }
 
-// HungUp reports whether the upstream closed or reset the connection after it was
-// given a part of the request and before it sent the head of an answer, as one does
-// whose process ends.
-func (e *Error) HungUp() bool { return e.hungUp }
+// HungUp reports whether the upstream closed or reset the connection after part
+// of the request was written and before it sent a response header, as happens
+// when its process exits.
+func (e *Error) HungUp() bool { return e.peerClosed }
 
-// Renewed reports whether the upstream had closed all kept connections that were good
-// still, so that a new one was opened.
-func (e *Error) Renewed() bool { return e.renewed }
+// Renewed reports whether a new connection was opened because the upstream had
+// closed every idle connection that could have been reused.
+func (e *Error) Renewed() bool { return e.reconnected }
 
-// Header returns the header of a refusal by the upstream, or nil.
+// Header returns the response header of a refusal by the upstream, or nil.
 func (e *Error) Header() http.Header { return e.header }
 
 // Status returns the HTTP status of a refusal by the upstream, or 0.
 func (e *Error) Status() int { return e.status }
 
-// Step returns the step at which the try failed.
+// Step returns the step at which the attempt failed.
 func (e *Error) Step() string { return e.step }
 
 // Error implements error.
@@ -125,63 +127,63 @@
 // Unwrap returns the cause.
 func (e *Error) Unwrap() error { return e.cause }
 
-// Worker is where to send a request.
+// Worker identifies the process that a request is sent to.
 type Worker struct {
 	ID string
-	// Start tells the processes apart that serve at an address one after the other; a
-	// greater one is newer. Connections to an earlier one are not used. 0 is unknown.
+	// Start distinguishes successive processes at the same address; a greater
+	// value is newer. Idle connections to an older process are closed. 0 means
+	// unknown.
 	Start   uint64
 	Address string
-	// Connections bounds the open connections to it.
+	// Connections limits the open connections to the worker; 0 means no limit.
 	Connections int
 }
 
-// Config sets up a Client. The zero value is useful.
+// Config configures a Client. The zero value is ready to use.
 type Config struct {
 	// Dial opens connections. Default: a net.Dialer.
 	Dial func(ctx context.Context, address string) (net.Conn, error)
-	// Progress is how long an exchange may stand still while a body is
-	// under way. Default 30 s.
+	// Progress limits each write of a request and each read of a response
+	// body. Default 30 s.
 	Progress time.Duration
-	// IdleFor is how long an unused connection is kept. Default 30 s. An
-	// upstream that announces less in Keep-Alive gets less.
+	// IdleFor is how long an idle connection is kept. Default 30 s. A shorter
+	// Keep-Alive timeout of the upstream takes precedence.
 	IdleFor time.Duration
-	// OnceIdle is for how long an unused connection is good for a request
-	// that may not be repeated. Default 0: such a request always gets a new
+	// OnceIdle is how long a connection may have been idle to be reused for
+	// an at-most-once request. Default 0: such a request always uses a new
 	// connection.
 	OnceIdle time.Duration
-	// DialTimeout bounds the opening of a connection. Default 2 s.
+	// DialTimeout limits the time to establish a connection. Default 2 s.
 	DialTimeout time.Duration
-	// Unanswered is after what time a connection is given up whose bytes the
-	// other side's system does not even confirm, as when its machine is
-	// gone. Default 0: the system's own time, which is minutes.
+	// Unanswered is how long sent data may stay unacknowledged at TCP level
+	// before the connection is closed, for example because the remote machine
+	// is gone. Default 0: the limit of the operating system, which is minutes.
 	Unanswered time.Duration
-	// Now tells how long connections rest, that of suspensions included. Default
-	// time.Now.
+	// Now returns the time by which idle connections expire. It should include
+	// the time that the machine was suspended. Default time.Now.
 	Now func() time.Time
-	// Dialect reads the signs of answers. Default: the headers of this
-	// package.
+	// Dialect interprets responses. Default: the headers of this package.
 	Dialect Dialect
 }
 
-// Dialect says what the answers of upstreams mean. Its methods must not read
-// bodies.
+// Dialect interprets the responses of upstreams. Its methods must not read
+// response bodies.
 type Dialect interface {
-	// Refused reports whether an answer says that the request was not run,
-	// and how.
+	// Refused reports whether a response declares that the request was not
+	// run, and the kind of the refusal.
 	Refused(res *http.Response) (Kind, bool)
-	// Belongs reports whether an answer is one to the request.
+	// Belongs reports whether a response is the one to the request.
 	Belongs(req *Request, res *http.Response) bool
-	// WithoutLength reports whether an answer may have neither length nor
-	// chunks, so that it ends with its connection.
+	// WithoutLength reports whether a response may have neither a length nor
+	// chunked encoding, so that closing the connection ends its body.
 	WithoutLength() bool
 }
 
-// ownDialect is the default.
-type ownDialect struct{}
+// defaultDialect uses HeaderRefused.
+type defaultDialect struct{}
 
 // Refused implements Dialect.
-func (ownDialect) Refused(res *http.Response) (Kind, bool) {
+func (defaultDialect) Refused(res *http.Response) (Kind, bool) {
 	if res.StatusCode != http.StatusServiceUnavailable {
 		return 0, false
 	}
@@ -195,21 +197,21 @@
 }
 
 // Belongs implements Dialect.
-func (ownDialect) Belongs(*Request, *http.Response) bool { return true }
+func (defaultDialect) Belongs(*Request, *http.Response) bool { return true }
 
-// WithoutLength implements Dialect: the end of such a body is the end of the
-// connection, so a broken answer could not be told from a whole one (RFC 9112,
-// section 6.3).
-func (ownDialect) WithoutLength() bool { return false }
+// WithoutLength implements Dialect. Close-delimited bodies are not allowed, since
+// a truncated one could not be told from a complete one (RFC 9112, section 6.3).
+func (defaultDialect) WithoutLength() bool { return false }
 
 const (
-	defaultProgress    = 30 * time.Second
-	defaultIdleFor     = 30 * time.Second
-	defaultDialTimeout = 2 * time.Second
-	maxIdle            = 32
+	defaultProgressTimeout = 30 * time.Second
+	defaultIdleTimeout     = 30 * time.Second
+	defaultDialTimeout     = 2 * time.Second
+	maxIdleConns           = 32
 )
 
-// Client keeps connections to upstreams. It is safe for concurrent use.
+// Client sends requests to upstreams over pooled connections. It is safe for
+// concurrent use.
 type Client struct {
 	cfg   Config
 	mu    sync.Mutex
@@ -218,40 +220,40 @@
 
 // pool holds the connections to one address.
 type pool struct {
-	mu   sync.Mutex
-	open int
-	// start is that of the newest process of which is known.
-	start uint64
-	idle  []*conn // the last used one at the end
+	mu        sync.Mutex
+	openCount int
+	// newestStart is the greatest Worker.Start seen for the address.
+	newestStart uint64
+	idle        []*conn // in order of use, most recent last
 }
 
-// New returns a client without connections.
+// New returns a client with no open connections.
 func New(cfg Config) *Client {
 	if cfg.DialTimeout <= 0 {
 		cfg.DialTimeout = defaultDialTimeout
 	}
 	if cfg.Dial == nil {
-		d := &net.Dialer{Timeout: cfg.DialTimeout, Control: controlUnanswered(cfg.Unanswered)}
+		d := &net.Dialer{Timeout: cfg.DialTimeout, Control: userTimeoutControl(cfg.Unanswered)}
 		cfg.Dial = func(ctx context.Context, address string) (net.Conn, error) {
 			return d.DialContext(ctx, "tcp", address)
 		}
 	}
 	if cfg.Progress <= 0 {
-		cfg.Progress = defaultProgress
+		cfg.Progress = defaultProgressTimeout
 	}
 	if cfg.IdleFor <= 0 {
-		cfg.IdleFor = defaultIdleFor
+		cfg.IdleFor = defaultIdleTimeout
 	}
 	if cfg.Now == nil {
 		cfg.Now = time.Now
 	}
 	if cfg.Dialect == nil {
-		cfg.Dialect = ownDialect{}
+		cfg.Dialect = defaultDialect{}
 	}
 	return &Client{cfg: cfg, pools: make(map[string]*pool)}
 }
 
-// CloseIdle closes all connections that are not in use.
+// CloseIdle closes all idle connections.
 func (c *Client) CloseIdle() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -260,8 +262,8 @@
 		idle := p.idle
 		p.idle = nil
 		p.mu.Unlock()
-		for _, kept := range idle {
-			kept.close() // It takes the pool's lock itself.
+		for _, idleConn := range idle {
+			idleConn.close() // Locks the pool.
 		}
 	}
 }
@@ -277,26 +279,26 @@
 	return p
 }
 
-// connect returns a kept connection, or a new one if there is none that is
-// good for the request.
-func (c *Client) connect(ctx context.Context, w Worker, once bool) (*conn, error) {
+// connect returns an idle connection that may be used for the request, or else
+// opens a new one.
+func (c *Client) connect(ctx context.Context, w Worker, atMostOnce bool) (*conn, error) {
 	p := c.pool(w.Address)
-	p.begin(w.Start)
-	goodFor := c.cfg.IdleFor
-	if once {
-		goodFor = min(goodFor, c.cfg.OnceIdle)
+	p.closeOlderThan(w.Start)
+	idleLimit := c.cfg.IdleFor
+	if atMostOnce {
+		idleLimit = min(idleLimit, c.cfg.OnceIdle)
 	}
-	closed := false
+	foundClosed := false
 	for {
-		kept := p.takeIdle(goodFor, c.cfg.Now())
-		if kept == nil {
+		idle := p.popIdle(idleLimit, c.cfg.Now())
+		if idle == nil {
 			break
 		}
-		if kept.wake() {
-			return kept, nil
+		if idle.stopWatch() {
+			return idle, nil
 		}
-		kept.close()
-		closed = true
+		idle.close()
+		foundClosed = true
 	}
 	if !p.reserve(w.Connections) {
 		return nil, &Error{kind: KindBusy, notRun: true, step: "connect", worker: w.ID}
@@ -305,21 +307,21 @@
 	defer cancel()
 	raw, err := c.cfg.Dial(ctx, w.Address)
 	if err != nil {
-		p.released()
+		p.release()
 		return nil, &Error{kind: KindUnreachable, notRun: true, step: "connect", worker: w.ID, cause: err}
 	}
-	made := newConn(raw, p, c.cfg.IdleFor)
-	made.start, made.renewed, made.opened = w.Start, closed, c.cfg.Now()
-	return made, nil
+	created := newConn(raw, p, c.cfg.IdleFor)
+	created.processStart, created.reconnected, created.opened = w.Start, foundClosed, c.cfg.Now()
+	return created, nil
 }
 
-// begin closes the resting connections to earlier processes than the one that started
-// then.
-func (p *pool) begin(start uint64) {
+// closeOlderThan closes all idle connections if start is that of a newer process
+// than any seen before.
+func (p *pool) closeOlderThan(start uint64) {
 	p.mu.Lock()
 	var earlier []*conn
-	if start > p.start {
-		p.start, earlier, p.idle = start, p.idle, nil
+	if start > p.newestStart {
+		p.newestStart, earlier, p.idle = start, p.idle, nil
 	}
 	p.mu.Unlock()
 	for _, c := range earlier {
@@ -327,28 +329,29 @@
 	}
 }
 
-// takeIdle takes out the connection that was used last, if it has not rested
-// for longer than it is good for. Those that no request may use are closed.
-func (p *pool) takeIdle(goodFor time.Duration, now time.Time) *conn {
+// popIdle removes and returns the most recently used idle connection, or nil if
+// it has been idle for idleLimit or longer. Expired connections are closed.
+func (p *pool) popIdle(idleLimit time.Duration, now time.Time) *conn {
 	p.mu.Lock()
-	expired := p.takeExpired(now)
-	var kept *conn
-	if n := len(p.idle); n > 0 && now.Sub(p.idle[n-1].since) < goodFor {
-		kept = p.idle[n-1]
+	expired := p.popExpired(now)
+	var found *conn
+	if n := len(p.idle); n > 0 && now.Sub(p.idle[n-1].idleSince) < idleLimit {
+		found = p.idle[n-1]
 		p.idle = p.idle[:n-1]
 	}
 	p.mu.Unlock()
 	for _, c := range expired {
 		c.close()
 	}
-	return kept
+	return found
 }
 
-// takeExpired takes out the connections that have rested for too long. They are
-// at the front, since the last used one is at the end.
-func (p *pool) takeExpired(now time.Time) []*conn {
+// popExpired removes and returns the connections whose idle timeout has passed.
+// Only the front is checked, since connections are in order of use. The caller
+// holds p.mu.
+func (p *pool) popExpired(now time.Time) []*conn {
 	n := 0
-	for n < len(p.idle) && now.Sub(p.idle[n].since) >= p.idle[n].idleFor {
+	for n < len(p.idle) && now.Sub(p.idle[n].idleSince) >= p.idle[n].idleTimeout {
 		n++
 	}
 	expired := slices.Clone(p.idle[:n])
@@ -356,35 +359,37 @@
 	return expired
 }
 
-// reserve counts a new connection, closing an idle one if the limit is reached.
+// reserve counts a new connection and reports whether the limit allows it. At
+// the limit it closes the least recently used idle connection to make room.
 func (p *pool) reserve(limit int) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if limit > 0 && p.open >= limit {
+	if limit > 0 && p.openCount >= limit {
 		if len(p.idle) == 0 {
 			return false
 		}
 		oldest := p.idle[0]
 		p.idle = p.idle[1:]
-		p.open--
+		p.openCount--
 		oldest.pool = nil
 		oldest.close()
 	}
-	p.open++
+	p.openCount++
 	return true
 }
 
-func (p *pool) released() {
+func (p *pool) release() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.open--
+	p.openCount--
 }
 
-// keep returns a connection after a complete exchange.
-func (p *pool) keep(c *conn, now time.Time) {
-	c.rest(now)
+// putIdle returns a connection to the pool after a complete exchange. It closes
+// the connection if the pool is full or a newer process serves at the address.
+func (p *pool) putIdle(c *conn, now time.Time) {
+	c.watchIdle(now)
 	p.mu.Lock()
-	if len(p.idle) < maxIdle && c.start >= p.start {
+	if len(p.idle) < maxIdleConns && c.processStart >= p.newestStart {
 		p.idle = append(p.idle, c)
 		p.mu.Unlock()
 		return
--- a/transport/upstream/client_test.go
+++ b/transport/upstream/client_test.go
@@ -24,9 +24,10 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// worker serves each connection with a function that gets the number of the
-// request on it, from 1.
-func worker(t *testing.T, serve func(n int, req *http.Request, conn net.Conn) bool) (upstream.Worker, *atomic.Int64) {
+// startWorker starts a server that calls serve for each request, with the request's
+// number on its connection, from 1. It closes the connection if serve returns false.
+// The counter is the number of requests received.
+func startWorker(t *testing.T, serve func(n int, req *http.Request, conn net.Conn) bool) (upstream.Worker, *atomic.Int64) {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -63,7 +64,7 @@
 	return upstream.Worker{ID: "w", Address: l.Addr().String(), Connections: 4}, &requests
 }
 
-func answer(conn net.Conn, body string) bool {
+func writeResponse(conn net.Conn, body string) bool {
 	_, err := fmt.Fprintf(conn, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
 	return err == nil
 }
@@ -74,75 +75,74 @@
 	return c
 }
 
-func get(c *upstream.Client, w upstream.Worker, req upstream.Request) (string, error) {
+func do(c *upstream.Client, w upstream.Worker, req upstream.Request) (string, error) {
 	req.Target, req.Host = "/x", "h"
 	if req.Method == "" {
 		req.Method = http.MethodGet
 	}
 	req.HeadBy = 2 * time.Second
-	a, err := c.Do(context.Background(), w, &req)
+	res, err := c.Do(context.Background(), w, &req)
 	if err != nil {
 		return "", err
 	}
-	defer a.Close()
-	body, err := io.ReadAll(a.Body())
+	defer res.Close()
+	body, err := io.ReadAll(res.Body())
 	return string(body), err
 }
 
-// net/http sends a request again when a kept connection is closed on arrival,
-// also a POST that bears an Idempotency-Key. One Do is one try.
-func TestNothingIsSentTwice(t *testing.T) {
+// Guards against a resend when an idle connection turns out to be closed, as net/http does it.
+func TestNoResendOnClosedConnection(t *testing.T) {
 	cases := map[string]upstream.Request{
 		"GET":             {},
 		"POST with a key": {Method: http.MethodPost, Header: http.Header{"Idempotency-Key": {"k"}}},
 	}
 	for name, req := range cases {
 		t.Run(name, func(t *testing.T) {
-			w, requests := worker(t, func(n int, _ *http.Request, conn net.Conn) bool {
-				return n == 1 && answer(conn, "first")
+			w, requests := startWorker(t, func(n int, _ *http.Request, conn net.Conn) bool {
+				return n == 1 && writeResponse(conn, "first")
 			})
 			c := newClient(t)
-			if body, err := get(c, w, req); body != "first" || err != nil {
+			if body, err := do(c, w, req); body != "first" || err != nil {
 				t.Fatal(body, err)
 			}
-			_, err := get(c, w, req)
+			_, err := do(c, w, req)
 			var u *upstream.Error
 			if !errors.As(err, &u) || u.NotRun() {
-				t.Fatalf("got %v; the request was given to the worker, so nothing is known", err)
+				t.Fatalf("got %v, want an error without NotRun: the request was written to the worker", err)
 			}
 			if n := requests.Load(); n != 2 {
-				t.Fatalf("the worker saw %d requests of 2", n)
+				t.Fatalf("the worker got %d requests, want 2", n)
 			}
 		})
 	}
 }
 
-func TestOnceNeverUsesAKeptConnection(t *testing.T) {
-	w, _ := worker(t, func(n int, _ *http.Request, conn net.Conn) bool { return n == 1 && answer(conn, "ok") })
+func TestAtMostOnceOpensConnection(t *testing.T) {
+	w, _ := startWorker(t, func(n int, _ *http.Request, conn net.Conn) bool { return n == 1 && writeResponse(conn, "ok") })
 	c := newClient(t)
 	for range 3 {
-		if body, err := get(c, w, upstream.Request{Method: http.MethodPost, Once: true}); body != "ok" || err != nil {
+		if body, err := do(c, w, upstream.Request{Method: http.MethodPost, Once: true}); body != "ok" || err != nil {
 			t.Fatal(body, err)
 		}
 	}
 }
 
-// What comes on a connection after an exchange has ended must reach nobody.
-func TestSurplusAnswerReachesNobody(t *testing.T) {
-	w, _ := worker(t, func(n int, _ *http.Request, conn net.Conn) bool {
+// Guards against taking unsolicited data after a response for the next response.
+func TestSurplusResponseIsDropped(t *testing.T) {
+	w, _ := startWorker(t, func(n int, _ *http.Request, conn net.Conn) bool {
 		const surplus = "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nanother's"
 		_, err := fmt.Fprintf(conn, "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nown %d%s", n, surplus)
 		return err == nil
 	})
 	c := newClient(t)
 	for range 20 {
-		if body, err := get(c, w, upstream.Request{}); body != "own 1" || err != nil {
+		if body, err := do(c, w, upstream.Request{}); body != "own 1" || err != nil {
 			t.Fatal(body, err)
 		}
 	}
 }
 
-func TestBrokenAnswersAreNeverWhole(t *testing.T) {
+func TestIncompleteResponsesFail(t *testing.T) {
 	cases := map[string]string{
 		"short body":       "HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nhalf",
 		"chunks cut off":   "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nhalf\r\n",
@@ -154,11 +154,11 @@
 	}
 	for name, text := range cases {
 		t.Run(name, func(t *testing.T) {
-			w, _ := worker(t, func(_ int, _ *http.Request, conn net.Conn) bool {
+			w, _ := startWorker(t, func(_ int, _ *http.Request, conn net.Conn) bool {
 				_, _ = io.WriteString(conn, text)
 				return false
 			})
-			_, err := get(newClient(t), w, upstream.Request{})
+			_, err := do(newClient(t), w, upstream.Request{})
 			var u *upstream.Error
 			if !errors.As(err, &u) || u.NotRun() {
 				t.Fatalf("got %v", err)
@@ -167,58 +167,58 @@
 	}
 }
 
-func TestNotRunIsSaidOnlyWhenTrue(t *testing.T) {
-	shed, _ := worker(t, func(_ int, _ *http.Request, conn net.Conn) bool {
+func TestNotRunOnlyIfCertain(t *testing.T) {
+	overloaded, _ := startWorker(t, func(_ int, _ *http.Request, conn net.Conn) bool {
 		_, err := io.WriteString(conn, "HTTP/1.1 503 Busy\r\nUpstream-Refused: shed\r\nContent-Length: 0\r\n\r\n")
 		return err == nil
 	})
-	plain, _ := worker(t, func(_ int, _ *http.Request, conn net.Conn) bool {
+	unavailable, _ := startWorker(t, func(_ int, _ *http.Request, conn net.Conn) bool {
 		_, err := io.WriteString(conn, "HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n")
 		return err == nil
 	})
 	var u *upstream.Error
-	if _, err := get(newClient(t), shed, upstream.Request{}); !errors.As(err, &u) || !u.NotRun() || u.Kind() != upstream.KindShed {
-		t.Errorf("shed: %v", err)
+	if _, err := do(newClient(t), overloaded, upstream.Request{}); !errors.As(err, &u) || !u.NotRun() || u.Kind() != upstream.KindShed {
+		t.Errorf("refused with shed: %v", err)
 	}
-	if _, err := get(newClient(t), plain, upstream.Request{}); err != nil {
-		t.Errorf("a 503 of the application's own is an answer: %v", err)
+	if _, err := do(newClient(t), unavailable, upstream.Request{}); err != nil {
+		t.Errorf("a 503 without a refusal header must be returned as a response: %v", err)
 	}
-	if _, err := get(newClient(t), upstream.Worker{ID: "w", Address: "127.0.0.1:1"}, upstream.Request{}); !errors.As(err, &u) || !u.NotRun() {
+	if _, err := do(newClient(t), upstream.Worker{ID: "w", Address: "127.0.0.1:1"}, upstream.Request{}); !errors.As(err, &u) || !u.NotRun() {
 		t.Errorf("unreachable: %v", err)
 	}
 }
 
-// An upstream may refuse an upload before it has read it.
-func TestEarlyRefusalEndsAnUpload(t *testing.T) {
-	w, _ := worker(t, func(_ int, _ *http.Request, conn net.Conn) bool {
+// Guards against losing a refusal that arrives before the upload is read.
+func TestEarlyRefusalEndsUpload(t *testing.T) {
+	w, _ := startWorker(t, func(_ int, _ *http.Request, conn net.Conn) bool {
 		_, _ = io.WriteString(conn, "HTTP/1.1 503 Busy\r\nUpstream-Refused: leaving\r\nContent-Length: 0\r\n\r\n")
 		return false
 	})
-	body := io.LimitReader(endless{}, 64<<20)
-	_, err := get(newClient(t), w, upstream.Request{Method: http.MethodPut, Body: body, Length: 64 << 20})
+	body := io.LimitReader(endlessReader{}, 64<<20)
+	_, err := do(newClient(t), w, upstream.Request{Method: http.MethodPut, Body: body, Length: 64 << 20})
 	var u *upstream.Error
 	if !errors.As(err, &u) || !u.NotRun() {
 		t.Fatal(err)
 	}
 }
 
-type endless struct{}
+type endlessReader struct{}
 
-func (endless) Read(p []byte) (int, error) { return len(p), nil }
+func (endlessReader) Read(p []byte) (int, error) { return len(p), nil }
 
-func TestCallersBrokenBodyIsNotTheWorkersFault(t *testing.T) {
-	w, _ := worker(t, func(_ int, req *http.Request, conn net.Conn) bool {
+func TestRequestBodyError(t *testing.T) {
+	w, _ := startWorker(t, func(_ int, req *http.Request, conn net.Conn) bool {
 		_, err := io.Copy(io.Discard, req.Body)
-		return err == nil && answer(conn, "ok")
+		return err == nil && writeResponse(conn, "ok")
 	})
 	body := io.MultiReader(strings.NewReader("part"), errorReader{})
-	_, err := get(newClient(t), w, upstream.Request{Method: http.MethodPut, Body: body, Length: 100_000})
+	_, err := do(newClient(t), w, upstream.Request{Method: http.MethodPut, Body: body, Length: 100_000})
 	var u *upstream.Error
 	if !errors.As(err, &u) || u.Kind() != upstream.KindBody || u.NotRun() {
 		t.Fatal(err)
 	}
-	// A small body that breaks before its head has gone out was never given.
-	_, err = get(newClient(t), w, upstream.Request{Method: http.MethodPut, Body: errorReader{}, Length: 100})
+	// The body fails before the buffered header is flushed, so nothing was sent.
+	_, err = do(newClient(t), w, upstream.Request{Method: http.MethodPut, Body: errorReader{}, Length: 100})
 	if !errors.As(err, &u) || u.Kind() != upstream.KindBody || !u.NotRun() {
 		t.Fatal(err)
 	}
@@ -228,28 +228,28 @@
 
 func (errorReader) Read([]byte) (int, error) { return 0, io.ErrUnexpectedEOF }
 
-// Regression: closing idle connections locked up, so a planned stop never ended.
-func TestCloseIdleEnds(t *testing.T) {
-	w, _ := worker(t, func(_ int, _ *http.Request, conn net.Conn) bool { return answer(conn, "ok") })
+// Guards against a deadlock between CloseIdle and the pool's lock.
+func TestCloseIdleReturns(t *testing.T) {
+	w, _ := startWorker(t, func(_ int, _ *http.Request, conn net.Conn) bool { return writeResponse(conn, "ok") })
 	c := newClient(t)
-	if _, err := get(c, w, upstream.Request{}); err != nil {
+	if _, err := do(c, w, upstream.Request{}); err != nil {
 		t.Fatal(err)
 	}
 	c.CloseIdle()
 	c.CloseIdle()
 }
 
-func TestConnectionsAreBounded(t *testing.T) {
+func TestConnectionLimit(t *testing.T) {
 	release := make(chan struct{})
-	w, _ := worker(t, func(_ int, _ *http.Request, conn net.Conn) bool {
+	w, _ := startWorker(t, func(_ int, _ *http.Request, conn net.Conn) bool {
 		<-release
-		return answer(conn, "ok")
+		return writeResponse(conn, "ok")
 	})
 	c := newClient(t)
 	results := make(chan error, 6)
 	for range 6 {
 		go func() {
-			_, err := get(c, w, upstream.Request{})
+			_, err := do(c, w, upstream.Request{})
 			results <- err
 		}()
 	}
@@ -267,6 +267,6 @@
 		}
 	}
 	if busy != 2 {
-		t.Fatalf("%d of 6 were refused at 4 connections", busy)
+		t.Fatalf("%d of 6 requests were refused at a limit of 4 connections, want 2", busy)
 	}
 }
--- a/transport/upstream/conn.go
+++ b/transport/upstream/conn.go
@@ -17,84 +17,85 @@
 
 // conn is one connection to an upstream.
 type conn struct {
-	// opened is when the connection was opened.
-	opened time.Time
-	raw    net.Conn
-	reader *bufio.Reader
-	pool   *pool
-	since  time.Time // when it was last put aside
-	start  uint64    // of the process that it was opened to
-	// renewed is set while it is used for the first time, if it was opened since the
-	// upstream had closed all others.
-	renewed bool
-	// idleFor is how long it may be put aside: what the upstream announced,
-	// less a margin, if it announced anything.
-	idleFor time.Duration
-	once    sync.Once
+	// opened is the time when the connection was established.
+	opened       time.Time
+	raw          net.Conn
+	reader       *bufio.Reader
+	pool         *pool
+	idleSince    time.Time // when the last exchange on it ended
+	processStart uint64    // Worker.Start of the process it was opened to
+	// reconnected is set during the first exchange if the connection was opened
+	// because the upstream had closed the idle ones.
+	reconnected bool
+	// idleTimeout is how long the connection may stay idle: Config.IdleTimeout, or
+	// less by the upstream's Keep-Alive header.
+	idleTimeout time.Duration
+	closeOnce   sync.Once
 
-	// While the connection rests, a goroutine waits for the upstream to
-	// close it or to send what nobody asked for.
-	resting chan struct{}
-	spoilt  bool
+	// watchDone is closed when the goroutine that watches the idle connection
+	// ends; unusable is valid from then on.
+	watchDone chan struct{}
+	unusable  bool
 }
 
-func newConn(raw net.Conn, p *pool, idleFor time.Duration) *conn {
-	return &conn{raw: raw, reader: bufio.NewReader(raw), pool: p, idleFor: idleFor}
+func newConn(raw net.Conn, p *pool, idleTimeout time.Duration) *conn {
+	return &conn{raw: raw, reader: bufio.NewReader(raw), pool: p, idleTimeout: idleTimeout}
 }
 
-// announced takes in the upstream's Keep-Alive header, such as "timeout=5". A
-// part of the time is kept as a margin, for the upstream's clock began earlier.
-func (c *conn) announced(header string) {
-	const margin = 5
-	for part := range strings.SplitSeq(header, ",") {
-		text, ok := strings.CutPrefix(strings.TrimSpace(part), "timeout=")
+// applyKeepAlive lowers the idle timeout to that of the upstream's Keep-Alive
+// header, such as "timeout=5". It subtracts a margin, since the upstream started
+// to count earlier.
+func (c *conn) applyKeepAlive(header string) {
+	const marginDivisor = 5
+	for param := range strings.SplitSeq(header, ",") {
+		value, ok := strings.CutPrefix(strings.TrimSpace(param), "timeout=")
 		if !ok {
 			continue
 		}
-		if seconds, err := strconv.Atoi(text); err == nil && seconds >= 0 {
+		if seconds, err := strconv.Atoi(value); err == nil && seconds >= 0 {
 			limit := time.Duration(seconds) * time.Second
-			c.idleFor = min(c.idleFor, limit-limit/margin)
+			c.idleTimeout = min(c.idleTimeout, limit-limit/marginDivisor)
 		}
 	}
 }
 
 func (c *conn) close() {
-	c.once.Do(func() {
+	c.closeOnce.Do(func() {
 		_ = c.raw.Close()
 		if c.pool != nil {
-			c.pool.released()
+			c.pool.release()
 		}
 	})
 }
 
-// abandon closes a connection with a request under way, and leaves nothing of it for the
-// system to send later: where a hall was cut off, a request that was given up would else
-// reach its worker once the cut has healed.
-func (c *conn) abandon() {
+// abort closes a connection during an exchange and discards unsent data.
+// Otherwise the operating system would keep sending it, and a canceled request
+// could reach its worker after a network partition ends.
+func (c *conn) abort() {
 	if tcp, ok := c.raw.(*net.TCPConn); ok {
-		_ = tcp.SetLinger(0) // It fails only on a connection that is closed.
+		_ = tcp.SetLinger(0) // Fails only if the connection is already closed.
 	}
 	c.close()
 }
 
-// rest watches a connection that is put aside.
-func (c *conn) rest(now time.Time) {
-	c.since = now
-	c.resting = make(chan struct{})
+// watchIdle starts to watch an idle connection for data or a close by the upstream.
+func (c *conn) watchIdle(now time.Time) {
+	c.idleSince = now
+	c.watchDone = make(chan struct{})
 	_ = c.raw.SetDeadline(time.Time{})
 	go func() {
-		defer close(c.resting)
+		defer close(c.watchDone)
 		_, err := c.reader.Peek(1)
-		// A byte without a question is as bad as a closed connection; only
-		// the deadline that wake sets leaves it good.
-		c.spoilt = !errors.Is(err, os.ErrDeadlineExceeded)
+		// Unsolicited data makes the connection as unusable as a close. Only
+		// the deadline set by stopWatch leaves it usable.
+		c.unusable = !errors.Is(err, os.ErrDeadlineExceeded)
 	}()
 }
 
-// wake ends the watch and reports whether the connection may be used.
-func (c *conn) wake() bool {
+// stopWatch ends the watch and reports whether the connection is usable.
+func (c *conn) stopWatch() bool {
 	_ = c.raw.SetReadDeadline(time.Unix(1, 0))
-	<-c.resting
+	<-c.watchDone
 	_ = c.raw.SetReadDeadline(time.Time{})
-	return !c.spoilt
+	return !c.unusable
 }
--- a/transport/upstream/dialect_test.go
+++ b/transport/upstream/dialect_test.go
@@ -16,46 +16,45 @@
 	"github.com/ryehill/ryehill/transport/upstream"
 )
 
-// numbered is a dialect whose answers carry the number of their request.
-type numbered struct{}
+// numberedDialect is a Dialect whose responses carry the number of their request.
+type numberedDialect struct{}
 
-func (numbered) Refused(res *http.Response) (upstream.Kind, bool) {
+func (numberedDialect) Refused(res *http.Response) (upstream.Kind, bool) {
 	return upstream.KindOther, res.StatusCode == http.StatusMisdirectedRequest
 }
 
-func (numbered) Belongs(req *upstream.Request, res *http.Response) bool {
+func (numberedDialect) Belongs(req *upstream.Request, res *http.Response) bool {
 	return res.Header.Get("Number") == req.Header.Get("Number") || res.StatusCode == http.StatusMisdirectedRequest
 }
 
-func (numbered) WithoutLength() bool { return true }
+func (numberedDialect) WithoutLength() bool { return true }
 
-func newNumbered(t *testing.T, onceIdle time.Duration) *upstream.Client {
-	c := upstream.New(upstream.Config{Progress: 2 * time.Second, Dialect: numbered{}, OnceIdle: onceIdle})
+func newNumberedClient(t *testing.T, maxIdle time.Duration) *upstream.Client {
+	c := upstream.New(upstream.Config{Progress: 2 * time.Second, Dialect: numberedDialect{}, OnceIdle: maxIdle})
 	t.Cleanup(c.CloseIdle)
 	return c
 }
 
-func number(n int) upstream.Request {
+func numberedRequest(n int) upstream.Request {
 	return upstream.Request{Header: http.Header{"Number": {fmt.Sprint(n)}}}
 }
 
-func numberedAnswer(conn net.Conn, n, body string) {
+func writeNumberedResponse(conn net.Conn, n, body string) {
 	fmt.Fprintf(conn, "HTTP/1.1 200 OK\r\nNumber: %s\r\nContent-Length: %d\r\n\r\n%s", n, len(body), body)
 }
 
-// An answer to an earlier request that comes late, where the next one is due, is
-// passed over.
-func TestLateAnswerIsPassedOver(t *testing.T) {
-	w, requests := worker(t, func(n int, req *http.Request, conn net.Conn) bool {
+// Guards against returning a late response to an earlier request.
+func TestStaleResponseIsSkipped(t *testing.T) {
+	w, requests := startWorker(t, func(n int, req *http.Request, conn net.Conn) bool {
 		if n == 2 {
-			numberedAnswer(conn, "1", "late")
+			writeNumberedResponse(conn, "1", "late")
 		}
-		numberedAnswer(conn, req.Header.Get("Number"), "own")
+		writeNumberedResponse(conn, req.Header.Get("Number"), "own")
 		return true
 	})
-	c := newNumbered(t, 0)
+	c := newNumberedClient(t, 0)
 	for n := 1; n <= 3; n++ {
-		if body, err := get(c, w, number(n)); body != "own" || err != nil {
+		if body, err := do(c, w, numberedRequest(n)); body != "own" || err != nil {
 			t.Fatalf("request %d: %q %v", n, body, err)
 		}
 	}
@@ -64,48 +63,45 @@
 	}
 }
 
-// Answers that all belong to others end the try; it may have run.
-func TestForeignAnswersEndTheTry(t *testing.T) {
-	w, _ := worker(t, func(_ int, _ *http.Request, conn net.Conn) bool {
+// Guards against skipping responses to other requests without limit.
+func TestTooManyStaleResponses(t *testing.T) {
+	w, _ := startWorker(t, func(_ int, _ *http.Request, conn net.Conn) bool {
 		for range 4 {
-			numberedAnswer(conn, "other", "foreign")
+			writeNumberedResponse(conn, "other", "foreign")
 		}
 		return true
 	})
-	_, err := get(newNumbered(t, 0), w, number(1))
+	_, err := do(newNumberedClient(t, 0), w, numberedRequest(1))
 	var failed *upstream.Error
 	if !errors.As(err, &failed) || failed.NotRun() || failed.Kind() != upstream.KindBroken {
-		t.Fatalf("%v, want a broken try that may have run", err)
+		t.Fatalf("%v, want KindBroken without NotRun", err)
 	}
 }
 
-// Another worker's word that it has the address is "not run". It bears no number,
-// so the connection is not used again: a second copy of it, which comes late,
-// must not be taken for the answer to the next request.
-func TestAnotherWorkerHasTheAddress(t *testing.T) {
+// Guards against reusing a connection after a 421, whose late duplicate could be taken for the next response.
+func TestMisdirectedResponse(t *testing.T) {
 	const misdirected = "HTTP/1.1 421 Misdirected Request\r\nContent-Length: 0\r\n\r\n"
 	var reused atomic.Bool
-	w, _ := worker(t, func(n int, _ *http.Request, conn net.Conn) bool {
+	w, _ := startWorker(t, func(n int, _ *http.Request, conn net.Conn) bool {
 		reused.Store(reused.Load() || n > 1)
 		fmt.Fprint(conn, misdirected)
 		return true
 	})
-	c := newNumbered(t, time.Second)
+	c := newNumberedClient(t, time.Second)
 	for n := range 3 {
-		_, err := get(c, w, number(n))
+		_, err := do(c, w, numberedRequest(n))
 		var failed *upstream.Error
 		if !errors.As(err, &failed) || !failed.NotRun() || failed.Kind() != upstream.KindOther {
-			t.Fatalf("%v, want one that was not run", err)
+			t.Fatalf("%v, want KindWrongWorker with NotRun", err)
 		}
 	}
 	if reused.Load() {
-		t.Error("the connection was used again")
+		t.Error("the connection was reused")
 	}
 }
 
-// An answer without a length is whole if its connection was closed, and broken
-// if it was reset.
-func TestAnswerWithoutLength(t *testing.T) {
+// Guards against taking a close-delimited response for complete when its connection was reset.
+func TestCloseDelimitedResponse(t *testing.T) {
 	cases := map[string]struct {
 		reset bool
 		want  string
@@ -115,44 +111,43 @@
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
-			w, _ := worker(t, func(_ int, req *http.Request, conn net.Conn) bool {
+			w, _ := startWorker(t, func(_ int, req *http.Request, conn net.Conn) bool {
 				fmt.Fprintf(conn, "HTTP/1.1 200 OK\r\nNumber: %s\r\n\r\nall of it", req.Header.Get("Number"))
 				if c.reset {
-					time.Sleep(50 * time.Millisecond) // The bytes come first.
+					time.Sleep(50 * time.Millisecond) // Let the client read the data before the reset.
 					_ = conn.(*net.TCPConn).SetLinger(0)
 				}
 				return false
 			})
-			body, err := get(newNumbered(t, 0), w, number(1))
+			body, err := do(newNumberedClient(t, 0), w, numberedRequest(1))
 			if c.reset != (err != nil) || !c.reset && body != c.want {
-				t.Errorf("%q %v", body, err)
+				t.Errorf("got %q, %v", body, err)
 			}
 		})
 	}
 }
 
-// A kept connection is given up before the upstream's announced time is over.
-func TestAnnouncedKeepAliveIsHeeded(t *testing.T) {
-	w, _ := worker(t, func(n int, req *http.Request, conn net.Conn) bool {
+// Guards against reusing an idle connection at the end of the upstream's Keep-Alive timeout.
+func TestKeepAliveTimeoutIsHonored(t *testing.T) {
+	w, _ := startWorker(t, func(n int, req *http.Request, conn net.Conn) bool {
 		fmt.Fprintf(conn, "HTTP/1.1 200 OK\r\nNumber: %s\r\nKeep-Alive: timeout=1, max=5\r\nContent-Length: 1\r\n\r\n%d", req.Header.Get("Number"), n)
 		return true
 	})
-	c := newNumbered(t, 0)
+	c := newNumberedClient(t, 0)
 	for i, want := range []string{"1", "2", "1"} {
 		if i == 2 {
 			time.Sleep(900 * time.Millisecond)
 		}
-		if body, err := get(c, w, number(i)); body != want || err != nil {
+		if body, err := do(c, w, numberedRequest(i)); body != want || err != nil {
 			t.Fatalf("request %d is number %q on its connection, want %q (%v)", i, body, want, err)
 		}
 	}
 }
 
-// A request that may not be repeated uses a kept connection only while that is
-// fresh enough.
-func TestOnceNeedsAFreshConnection(t *testing.T) {
+// Guards against sending an at-most-once request on a connection that was idle for too long.
+func TestAtMostOnceIdleLimit(t *testing.T) {
 	cases := map[string]struct {
-		onceIdle, rest time.Duration
+		maxIdle, pause time.Duration
 		want           string
 	}{
 		"never":        {0, 0, "1"},
@@ -161,19 +156,19 @@
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
-			w, _ := worker(t, func(n int, req *http.Request, conn net.Conn) bool {
-				numberedAnswer(conn, req.Header.Get("Number"), fmt.Sprint(n))
+			w, _ := startWorker(t, func(n int, req *http.Request, conn net.Conn) bool {
+				writeNumberedResponse(conn, req.Header.Get("Number"), fmt.Sprint(n))
 				return true
 			})
-			client := newNumbered(t, c.onceIdle)
-			if _, err := get(client, w, number(1)); err != nil {
+			client := newNumberedClient(t, c.maxIdle)
+			if _, err := do(client, w, numberedRequest(1)); err != nil {
 				t.Fatal(err)
 			}
-			time.Sleep(c.rest)
-			once := number(2)
+			time.Sleep(c.pause)
+			once := numberedRequest(2)
 			once.Once, once.Method = true, http.MethodPost
-			if body, err := get(client, w, once); body != c.want || err != nil {
-				t.Errorf("number %q on its connection, want %q (%v)", body, c.want, err)
+			if body, err := do(client, w, once); body != c.want || err != nil {
+				t.Errorf("request is number %q on its connection, want %q (%v)", body, c.want, err)
 			}
 		})
 	}
--- a/transport/upstream/exchange.go
+++ b/transport/upstream/exchange.go
@@ -18,100 +18,100 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Request is one request to an upstream.
+// Request describes a request to an upstream.
 type Request struct {
 	Method string
-	// Target is path and query.
+	// Target is the request target: path and query.
 	Target string
 	Host   string
 	Header http.Header
-	// Body is read once, to its end; nil is no body.
+	// Body is read once, to its end. Nil means no body.
 	Body io.Reader
-	// Length of the body in bytes, or -1 if unknown.
+	// Length is the length of the body in bytes, or -1 if unknown.
 	Length int64
-	// HeadBy is how long the head of the answer may take after the last byte
-	// of the body was sent.
+	// HeadBy limits the time from the end of sending to the response header.
+	// 0 means no limit.
 	HeadBy time.Duration
-	// Once is set for a request that may not be repeated.
+	// Once is set for a request that must not be run more than once.
 	Once bool
 }
 
-// Answer is the answer of an upstream. Close must be called.
+// Answer is the response of an upstream. Close must be called.
 type Answer struct {
-	renewed bool
-	opened  time.Time
-	status  int
-	header  http.Header
-	length  int64
-	body    *answerBody
+	reconnected bool
+	opened      time.Time
+	status      int
+	header      http.Header
+	length      int64
+	body        *responseBody
 }
 
 // Status returns the HTTP status.
-func (a *Answer) Status() int { return a.status }
+func (r *Answer) Status() int { return r.status }
 
-// Renewed reports whether the upstream had closed all kept connections that were good
-// still, so that a new one was opened.
-func (a *Answer) Renewed() bool { return a.renewed }
+// Renewed reports whether a new connection was opened because the upstream had
+// closed every idle connection that could have been reused.
+func (r *Answer) Renewed() bool { return r.reconnected }
 
-// Opened returns when the connection was opened over which the answer came.
-func (a *Answer) Opened() time.Time { return a.opened }
+// Opened returns when the connection of the exchange was opened.
+func (r *Answer) Opened() time.Time { return r.opened }
 
 // Header returns the header fields.
-func (a *Answer) Header() http.Header { return a.header }
+func (r *Answer) Header() http.Header { return r.header }
 
 // Length returns the length of the body in bytes, or -1 if unknown.
-func (a *Answer) Length() int64 { return a.length }
+func (r *Answer) Length() int64 { return r.length }
 
 // Body returns the body. It ends with io.EOF only if it is complete.
-func (a *Answer) Body() io.Reader { return a.body }
+func (r *Answer) Body() io.Reader { return r.body }
 
-// Close ends the exchange. The connection is kept only if the body was read to
-// its end and the request had been sent in full.
-func (a *Answer) Close() { a.body.close() }
+// Close ends the exchange. The connection is reused only if the body was read to
+// its end and the request was sent completely.
+func (r *Answer) Close() { r.body.close() }
 
-// exchange is one request on one connection.
+// exchange is one request and its response on one connection.
 type exchange struct {
 	client *Client
 	conn   *conn
 	worker Worker
 	req    *Request
-	// given is set once the first byte was handed to the connection.
-	given    atomic.Bool
-	sendDone chan struct{}
-	sendErr  error
-	bodyErr  error
-	stopped  atomic.Bool
-	detach   func() bool
+	// writeStarted is set before the first byte is written to the connection.
+	writeStarted  atomic.Bool
+	sendDone      chan struct{}
+	sendErr       error
+	bodyErr       error
+	stopped       atomic.Bool
+	detachContext func() bool
 }
 
-// Do sends a request and returns the answer once its head has come. Every
-// error is an *Error. Ending ctx at any time, also while the answer's body is
-// read, closes the connection, by which the upstream learns of it.
+// Do sends a request and returns the response once its header has been read.
+// Every error is an *Error. Canceling ctx at any time, even while the response
+// body is read, closes the connection, so that the upstream can stop its work.
 func (c *Client) Do(ctx context.Context, w Worker, req *Request) (*Answer, error) {
 	conn, err := c.connect(ctx, w, req.Once)
 	if err != nil {
 		return nil, err
 	}
 	x := &exchange{client: c, conn: conn, worker: w, req: req, sendDone: make(chan struct{})}
-	x.detach = context.AfterFunc(ctx, conn.abandon)
+	x.detachContext = context.AfterFunc(ctx, conn.abort)
 	go x.send()
-	res, err := x.readHead() //nolint:bodyclose // Answer.Close ends the exchange with its connection.
+	res, err := x.readHead() //nolint:bodyclose // Response.Close ends the exchange with its connection.
 	if err != nil {
-		return nil, x.fail(ctx, err)
+		return nil, x.abortWithError(ctx, err)
 	}
-	if refusal := x.refused(res); refusal != nil {
-		x.endRefused(res)
-		return nil, refusal
+	if refused := x.refusal(res); refused != nil {
+		x.releaseRefused(res)
+		return nil, refused
 	}
-	x.conn.announced(res.Header.Get("Keep-Alive"))
-	return x.answer(res)
+	x.conn.applyKeepAlive(res.Header.Get("Keep-Alive"))
+	return x.response(res)
 }
 
-func (x *exchange) fail(ctx context.Context, err error) error {
-	x.conn.abandon()
-	x.end(false)
+func (x *exchange) abortWithError(ctx context.Context, err error) error {
+	x.conn.abort()
+	x.release(false)
 	<-x.sendDone
-	e := &Error{kind: KindBroken, renewed: x.conn.renewed, notRun: !x.given.Load(), step: "read head", worker: x.worker.ID, cause: err}
+	e := &Error{kind: KindBroken, reconnected: x.conn.reconnected, notRun: !x.writeStarted.Load(), step: "read head", worker: x.worker.ID, cause: err}
 	switch {
 	case x.bodyErr != nil:
 		e.kind, e.step, e.cause = KindBody, "read the caller's body", x.bodyErr
@@ -119,30 +119,31 @@
 		e.cause = ctx.Err()
 	case x.sendErr != nil:
 		e.step = "send"
-		e.hungUp = !e.notRun && hungUp(err)
+		e.peerClosed = !e.notRun && isPeerClosed(err)
 	default:
-		e.hungUp = hungUp(err)
+		e.peerClosed = isPeerClosed(err)
 	}
 	return e
 }
 
-// hungUp reports whether a connection failed because the other side ended it.
-func hungUp(err error) bool {
+// isPeerClosed reports whether a connection failed because the peer closed or
+// reset it.
+func isPeerClosed(err error) bool {
 	return errors.Is(err, errClosed) || errors.Is(err, syscall.ECONNRESET) || errors.Is(err, syscall.EPIPE)
 }
 
-func (x *exchange) end(keep bool) {
+func (x *exchange) release(reuse bool) {
 	x.stopped.Store(true)
-	if x.detach() && keep {
-		x.conn.pool.keep(x.conn, x.client.cfg.Now())
+	if x.detachContext() && reuse {
+		x.conn.pool.putIdle(x.conn, x.client.cfg.Now())
 		return
 	}
 	x.conn.close()
 }
 
-// refused returns an error for an upstream's word that it did not run the
-// request.
-func (x *exchange) refused(res *http.Response) *Error {
+// refusal returns an error if the response declares that the request was not
+// run, else nil.
+func (x *exchange) refusal(res *http.Response) *Error {
 	kind, ok := x.client.cfg.Dialect.Refused(res)
 	if !ok {
 		return nil
@@ -150,22 +151,22 @@
 	return &Error{kind: kind, notRun: true, step: "upstream's answer", worker: x.worker.ID, header: res.Header, status: res.StatusCode}
 }
 
-func (x *exchange) answer(res *http.Response) (*Answer, error) {
-	lengthless := res.ContentLength < 0 && len(res.TransferEncoding) == 0 && res.Body != http.NoBody
-	if lengthless && !x.client.cfg.Dialect.WithoutLength() {
-		x.end(false)
+func (x *exchange) response(res *http.Response) (*Answer, error) {
+	closeDelimited := res.ContentLength < 0 && len(res.TransferEncoding) == 0 && res.Body != http.NoBody
+	if closeDelimited && !x.client.cfg.Dialect.WithoutLength() {
+		x.release(false)
 		return nil, &Error{kind: KindBroken, step: "answer has neither length nor chunks", worker: x.worker.ID}
 	}
-	body := &answerBody{exchange: x, in: res.Body, keep: !res.Close && !lengthless}
-	renewed := x.conn.renewed
-	x.conn.renewed = false
-	return &Answer{renewed: renewed, opened: x.conn.opened, status: res.StatusCode, header: res.Header, length: res.ContentLength, body: body}, nil
+	body := &responseBody{exchange: x, source: res.Body, reusable: !res.Close && !closeDelimited}
+	reconnected := x.conn.reconnected
+	x.conn.reconnected = false
+	return &Answer{reconnected: reconnected, opened: x.conn.opened, status: res.StatusCode, header: res.Header, length: res.ContentLength, body: body}, nil
 }
 
-// readHead reads up to the final head, passing over informational ones and, on
-// a connection that was used before, over late answers to earlier requests.
+// readHead reads the final response header. It skips informational responses and,
+// up to a limit, late responses to earlier requests on the connection.
 func (x *exchange) readHead() (*http.Response, error) {
-	late := 0
+	stale := 0
 	for {
 		res, err := http.ReadResponse(x.conn.reader, &http.Request{Method: x.req.Method})
 		if err != nil {
@@ -180,62 +181,64 @@
 		if x.client.cfg.Dialect.Belongs(x.req, res) {
 			return res, nil
 		}
-		late++
-		if late > maxLate || passOver(res) != nil {
-			return nil, errForeign
+		stale++
+		if stale > maxStaleResponses || discardResponse(res) != nil {
+			return nil, errWrongRequest
 		}
 	}
 }
 
-// maxLate bounds the late answers that are passed over before one's own.
-const maxLate = 2
+// maxStaleResponses limits the responses to other requests that are skipped in
+// one exchange.
+const maxStaleResponses = 2
 
-// maxDiscard bounds, in bytes, what is read of a body that nobody wants.
+// maxDiscard limits, in bytes, how much of an unwanted body is read to keep the
+// connection.
 const maxDiscard = 64 << 10
 
-var errForeign = errors.New("the answer belongs to another request")
+var errWrongRequest = errors.New("the response belongs to another request")
 
-// passOver reads an answer that belongs to another request to its end.
-func passOver(res *http.Response) error {
+// discardResponse reads a response to its end. It fails if the body is
+// close-delimited or too long.
+func discardResponse(res *http.Response) error {
 	if res.ContentLength < 0 && len(res.TransferEncoding) == 0 {
-		return errForeign
+		return errWrongRequest
 	}
 	n, err := io.Copy(io.Discard, io.LimitReader(res.Body, maxDiscard))
 	if err == nil && n == maxDiscard {
-		return errForeign
+		return errWrongRequest
 	}
 	return err
 }
 
-// endRefused ends an exchange that the upstream refused. The connection is kept
-// if both sides ended in full.
-func (x *exchange) endRefused(res *http.Response) {
-	// An answer that another worker has the address bears no sign of the
-	// request it belongs to, so no other request may wait behind it.
-	nameless := !x.client.cfg.Dialect.Belongs(x.req, res) || res.StatusCode == http.StatusMisdirectedRequest
-	keep := !nameless && x.sent() && !res.Close && passOver(res) == nil && x.conn.reader.Buffered() == 0
-	x.conn.announced(res.Header.Get("Keep-Alive"))
-	x.end(keep)
+// releaseRefused ends an exchange that the upstream refused. The connection is
+// reused if both sides completed the exchange.
+func (x *exchange) releaseRefused(res *http.Response) {
+	// A 421 response does not identify its request, so a late duplicate of it
+	// could be taken for the response to the next request.
+	unmatched := !x.client.cfg.Dialect.Belongs(x.req, res) || res.StatusCode == http.StatusMisdirectedRequest
+	reuse := !unmatched && x.fullySent() && !res.Close && discardResponse(res) == nil && x.conn.reader.Buffered() == 0
+	x.conn.applyKeepAlive(res.Header.Get("Keep-Alive"))
+	x.release(reuse)
 }
 
-// sent reports whether the request was sent in full. An answer can be here
-// before the sender has noticed that its last write is done, so that gets a
-// moment.
-func (x *exchange) sent() bool {
-	const moment = 5 * time.Millisecond
+// fullySent reports whether the request was sent completely. The response can
+// arrive before send has returned, so it waits briefly for that.
+func (x *exchange) fullySent() bool {
+	const grace = 5 * time.Millisecond
 	select {
 	case <-x.sendDone:
 		return x.sendErr == nil
-	case <-time.After(moment):
+	case <-time.After(grace):
 		return false
 	}
 }
 
-// send writes the request. It runs beside readHead, since an upstream may
-// answer before it has read the whole body.
+// send writes the request. It runs concurrently with readHead, since an upstream
+// may respond before it has read the whole body.
 func (x *exchange) send() {
 	defer close(x.sendDone)
-	out := bufio.NewWriterSize(&givenWriter{x}, 32<<10)
+	out := bufio.NewWriterSize(&deadlineWriter{x}, 32<<10)
 	err := x.writeHead(out)
 	if err == nil && x.req.Body != nil {
 		err = x.writeBody(out)
@@ -245,11 +248,12 @@
 	}
 	x.sendErr = err
 	if err != nil && !x.stopped.Load() {
-		if x.bodyErr != nil || !x.given.Load() {
-			x.conn.close() // Nothing can come back; wake readHead.
+		if x.bodyErr != nil || !x.writeStarted.Load() {
+			x.conn.close() // No response can arrive; unblock readHead.
 			return
 		}
-		// The upstream may have answered early and closed: let readHead see.
+		// The upstream may have responded early and closed the connection:
+		// give readHead time to read that response.
 		_ = x.conn.raw.SetReadDeadline(time.Now().Add(time.Second))
 		return
 	}
@@ -275,19 +279,19 @@
 }
 
 func (x *exchange) writeBody(out *bufio.Writer) error {
-	// The head goes out at once: the upstream may refuse before the body.
+	// Flush the header first: the upstream may refuse before it gets the body.
 	if x.req.Length < 0 || x.req.Length > int64(out.Available()) {
 		if err := out.Flush(); err != nil {
 			return err
 		}
 	}
-	var to io.Writer = out
+	var dst io.Writer = out
 	var chunked io.WriteCloser
 	if x.req.Length < 0 {
 		chunked = httputil.NewChunkedWriter(out)
-		to = chunked
+		dst = chunked
 	}
-	n, err := io.Copy(to, &bodyReader{x})
+	n, err := io.Copy(dst, &bodyReader{x})
 	if err == nil && x.req.Length >= 0 && n != x.req.Length {
 		x.bodyErr = io.ErrUnexpectedEOF
 		return x.bodyErr
@@ -302,7 +306,8 @@
 	return err
 }
 
-// bodyReader notes errors of the caller's side, apart from the upstream's.
+// bodyReader reads the request body and records its read errors, to tell them
+// from write errors of the connection.
 type bodyReader struct{ x *exchange }
 
 func (b *bodyReader) Read(p []byte) (int, error) {
@@ -313,44 +318,44 @@
 	return n, err
 }
 
-// givenWriter notes the first byte that is handed to the connection and bounds
-// each write by the time that progress may take.
-type givenWriter struct{ x *exchange }
+// deadlineWriter writes to the connection with a deadline for each write and
+// records that writing has started.
+type deadlineWriter struct{ x *exchange }
 
-func (w *givenWriter) Write(p []byte) (int, error) {
+func (w *deadlineWriter) Write(p []byte) (int, error) {
 	if w.x.stopped.Load() {
 		return 0, errClosed
 	}
 	_ = w.x.conn.raw.SetWriteDeadline(time.Now().Add(w.x.client.cfg.Progress))
-	w.x.given.Store(true)
+	w.x.writeStarted.Store(true)
 	return w.x.conn.raw.Write(p)
 }
 
-// answerBody reads the body of an answer, and gives the connection back.
-type answerBody struct {
-	exchange *exchange
-	in       io.ReadCloser
-	keep     bool
-	ended    bool
-	once     sync.Once
+// responseBody is the body of a response. Closing it releases the connection.
+type responseBody struct {
+	exchange  *exchange
+	source    io.ReadCloser
+	reusable  bool
+	complete  bool
+	closeOnce sync.Once
 }
 
 // Read implements io.Reader.
-func (b *answerBody) Read(p []byte) (int, error) {
+func (b *responseBody) Read(p []byte) (int, error) {
 	_ = b.exchange.conn.raw.SetReadDeadline(time.Now().Add(b.exchange.client.cfg.Progress))
-	n, err := b.in.Read(p)
+	n, err := b.source.Read(p)
 	switch {
 	case errors.Is(err, io.EOF):
-		b.ended = true
+		b.complete = true
 	case err != nil:
 		err = &Error{kind: KindBroken, step: "read body", worker: b.exchange.worker.ID, cause: err}
 	}
 	return n, err
 }
 
-func (b *answerBody) close() {
-	b.once.Do(func() {
-		keep := b.keep && b.ended && b.exchange.sent()
-		b.exchange.end(keep && b.exchange.conn.reader.Buffered() == 0)
+func (b *responseBody) close() {
+	b.closeOnce.Do(func() {
+		reuse := b.reusable && b.complete && b.exchange.fullySent()
+		b.exchange.release(reuse && b.exchange.conn.reader.Buffered() == 0)
 	})
 }
--- a/transport/upstream/unanswered.go
+++ b/transport/upstream/unanswered.go
@@ -8,23 +8,23 @@
 	"time"
 )
 
-// optionUserTimeout is TCP_USER_TIMEOUT of Linux (RFC 5482).
-const optionUserTimeout = 0x12
+// tcpUserTimeout is the Linux socket option TCP_USER_TIMEOUT (RFC 5482).
+const tcpUserTimeout = 0x12
 
-// controlUnanswered returns what sets a socket's time for unconfirmed bytes, or
-// nil for the system's own.
-func controlUnanswered(after time.Duration) func(network, address string, raw syscall.RawConn) error {
-	if after <= 0 {
+// userTimeoutControl returns a net.Dialer.Control function that limits how long
+// sent data may stay unacknowledged, or nil to keep the default of the system.
+func userTimeoutControl(timeout time.Duration) func(network, address string, raw syscall.RawConn) error {
+	if timeout <= 0 {
 		return nil
 	}
 	return func(_, _ string, raw syscall.RawConn) error {
-		var failed error
+		var optErr error
 		err := raw.Control(func(socket uintptr) {
-			failed = syscall.SetsockoptInt(int(socket), syscall.IPPROTO_TCP, optionUserTimeout, int(after.Milliseconds()))
+			optErr = syscall.SetsockoptInt(int(socket), syscall.IPPROTO_TCP, tcpUserTimeout, int(timeout.Milliseconds()))
 		})
 		if err != nil {
 			return err
 		}
-		return failed
+		return optErr
 	}
 }
