--- a/transport/ingress/answer.go
+++ b/transport/ingress/answer.go
@@ -19,44 +19,44 @@
 	"github.com/ryehill/ryehill/transport/upstream"
 )
 
-// Reasons of refusals, as counted in metrics and logged.
+// Reasons of rejected or failed requests, as counted in metrics and logged.
 const (
-	reasonNoConfig = "no-configuration"
-	reasonNoRoute  = "no-route"
-	reasonMoved    = "route-moved"
-	reasonTooLarge = "body-too-large"
-	reasonBody     = "body-broken"
-	reasonBroken   = "broken"
-	reasonTimeout  = "timeout"
-	reasonLeft     = "client-left"
-	reasonAnswered = "answered"
-	reasonLate     = "late"
-	// reasonBusyRoom is placement.RefusalBusy while another worker of the
-	// region had a free slot, though it does not hold the key.
-	reasonBusyRoom = "busy-room-elsewhere"
+	reasonNoConfig       = "no-configuration"
+	reasonNoRoute        = "no-route"
+	reasonRouteMoved     = "route-moved"
+	reasonBodyTooLarge   = "body-too-large"
+	reasonBodyReadError  = "body-broken"
+	reasonUpstreamBroken = "broken"
+	reasonTimeout        = "timeout"
+	reasonClientClosed   = "client-left"
+	reasonAnswered       = "answered"
+	reasonLate           = "late"
+	// reasonBusyCapacityElsewhere replaces placement.RefusalBusy if another worker
+	// of the region, which does not hold the key, had a free slot.
+	reasonBusyCapacityElsewhere = "busy-room-elsewhere"
 )
 
 const (
-	// bufferedAnswer is how many bytes of an answer are held before its head
-	// is passed on. One that breaks off before can still be had elsewhere.
-	bufferedAnswer = 256 << 10
-	// comeBack and comeBackSpread say after what time a refused client may
-	// come back, if no worker is known to be ready only later. The spread keeps
-	// those refused together apart.
-	comeBack       = 100 * time.Millisecond
-	comeBackSpread = 150 * time.Millisecond
+	// maxBufferedResponse is how many bytes of a response body are buffered before
+	// the header is sent to the client. Up to then a failed attempt can be retried.
+	maxBufferedResponse = 256 << 10
+	// minRetryAfter and retryAfterJitter determine the Retry-After of a refused
+	// request unless all workers back off for longer. The jitter spreads the
+	// retries of clients that were refused at the same time.
+	minRetryAfter    = 100 * time.Millisecond
+	retryAfterJitter = 150 * time.Millisecond
 )
 
-// passOn copies an answer to the client.
-func (q *request) passOn(a *upstream.Answer) error {
-	var held bytes.Buffer
-	n, err := io.Copy(&held, io.LimitReader(a.Body(), bufferedAnswer))
+// forwardResponse copies a response to the client.
+func (q *request) forwardResponse(res *upstream.Answer) error {
+	var buffered bytes.Buffer
+	n, err := io.Copy(&buffered, io.LimitReader(res.Body(), maxBufferedResponse))
 	if err != nil {
 		return err
 	}
-	whole := n < bufferedAnswer
+	complete := n < maxBufferedResponse
 	header := q.out.Header()
-	for name, values := range a.Header() {
+	for name, values := range res.Header() {
 		header[name] = values
 	}
 	closing := q.handler.stopping.Load()
@@ -66,24 +66,24 @@
 	}
 	for _, name := range []string{"Content-Type", "Date"} {
 		if _, ok := header[name]; !ok {
-			header[name] = nil // Else the server makes one up.
+			header[name] = nil // Prevents net/http from adding a default.
 		}
 	}
 	switch {
-	case a.Length() >= 0:
-		header.Set("Content-Length", strconv.FormatInt(a.Length(), 10))
-	case whole && q.in.Method != http.MethodHead && bodyAllowed(a.Status()):
+	case res.Length() >= 0:
+		header.Set("Content-Length", strconv.FormatInt(res.Length(), 10))
+	case complete && q.in.Method != http.MethodHead && bodyAllowed(res.Status()):
 		header.Set("Content-Length", strconv.FormatInt(n, 10))
 	}
-	q.headSent, q.status = true, a.Status()
-	q.out.WriteHeader(a.Status())
-	if _, err := q.out.Write(held.Bytes()); err != nil && !errors.Is(err, http.ErrBodyNotAllowed) {
-		return nil //nolint:nilerr // The client is gone; the worker did its part.
+	q.headSent, q.status = true, res.Status()
+	q.out.WriteHeader(res.Status())
+	if _, err := q.out.Write(buffered.Bytes()); err != nil && !errors.Is(err, http.ErrBodyNotAllowed) {
+		return nil //nolint:nilerr // The client has disconnected, which is no failure of the worker.
 	}
-	q.answered = n
-	if !whole {
-		rest, err := io.Copy(q.out, a.Body())
-		q.answered += rest
+	q.responseBytes = n
+	if !complete {
+		rest, err := io.Copy(q.out, res.Body())
+		q.responseBytes += rest
 		if err != nil {
 			return err
 		}
@@ -96,13 +96,13 @@
 	return status >= http.StatusOK && status != http.StatusNoContent && status != http.StatusNotModified
 }
 
-// refuse answers that the request was not run and when to come back.
+// refuse responds with 503 and Retry-After. It is used only if no worker has run the request.
 func (q *request) refuse(reason string) {
 	q.handler.cfg.Metrics.Refused(reason)
-	q.finish(reason, http.StatusServiceUnavailable)
-	after := max(comeBack, q.wait) + rand.N(comeBackSpread)
+	q.recordOutcome(reason, http.StatusServiceUnavailable)
+	after := max(minRetryAfter, q.retryAfter) + rand.N(retryAfterJitter)
 	q.out.Header().Set("Retry-After", strconv.FormatFloat(after.Seconds(), 'f', 3, 64))
-	q.end(http.StatusServiceUnavailable)
+	q.writeStatus(http.StatusServiceUnavailable)
 }
 
 func (q *request) refusePlacement(reason string, number int) {
@@ -110,52 +110,52 @@
 		reason += "-after-try"
 	}
 	if q.mayHaveRun {
-		q.reject(http.StatusBadGateway, reason) // Promises nothing.
+		q.reject(http.StatusBadGateway, reason) // The request may have run, so 503 must not be sent.
 		return
 	}
 	q.refuse(reason)
 }
 
-// reject answers with a status that promises nothing.
+// reject responds with a status that does not say whether the request was run.
 func (q *request) reject(status int, reason string) {
 	q.handler.cfg.Metrics.Refused(reason)
-	q.finish(reason, status)
-	q.end(status)
+	q.recordOutcome(reason, status)
+	q.writeStatus(status)
 }
 
-func (q *request) end(status int) {
+func (q *request) writeStatus(status int) {
 	q.out.Header().Set("Content-Length", "0")
 	q.out.WriteHeader(status)
 }
 
-// fail answers a request whose last try failed.
-func (q *request) fail(ctx context.Context, f *failure, verdict retry.Verdict) {
+// respondFailed responds to a request whose last attempt failed.
+func (q *request) respondFailed(ctx context.Context, f *failure, verdict retry.Verdict) {
 	switch {
 	case q.in.Context().Err() != nil:
-		q.abort(reasonLeft)
+		q.abort(reasonClientClosed)
 	case !q.mayHaveRun:
 		q.refuse(string(f.cause) + "-" + string(verdict))
 	case ctx.Err() != nil:
 		q.reject(http.StatusGatewayTimeout, reasonTimeout)
 	default:
-		q.reject(http.StatusBadGateway, reasonBroken)
+		q.reject(http.StatusBadGateway, reasonUpstreamBroken)
 	}
 }
 
-// abort closes the client's connection, so that nothing looks whole.
+// abort closes the client's connection, so that a truncated response does not look complete.
 func (q *request) abort(reason string) {
 	q.handler.cfg.Metrics.Refused(reason)
-	q.finish(reason, 0)
+	q.recordOutcome(reason, 0)
 	panic(http.ErrAbortHandler)
 }
 
-func (q *request) badBody(err error) {
+func (q *request) rejectBody(err error) {
 	if errors.Is(err, errTooLarge) {
-		q.reject(http.StatusRequestEntityTooLarge, reasonTooLarge)
+		q.reject(http.StatusRequestEntityTooLarge, reasonBodyTooLarge)
 		return
 	}
-	q.note("body", err.Error())
-	q.abort(reasonBody)
+	q.addInput("body", err.Error())
+	q.abort(reasonBodyReadError)
 }
 
 func splitList(value string) []string {
--- a/transport/ingress/body.go
+++ b/transport/ingress/body.go
@@ -11,81 +11,81 @@
 	"github.com/cockroachdb/errors"
 )
 
-// bufferedBody is how many bytes of a body are held before a worker is chosen.
-// A body that fits can be sent again and takes up no worker while it arrives.
-const bufferedBody = 1 << 20
+// maxBufferedBody is how many bytes of a request body are buffered before a worker
+// is chosen. A body that fits can be resent and occupies no worker while it is received.
+const maxBufferedBody = 1 << 20
 
-// errTooLarge reports a body beyond the configured limit.
+// errTooLarge is returned for a body that exceeds the configured limit.
 var errTooLarge = errors.New("ingress: the body is too large")
 
-// body is the body of a client's request.
+// body is the body of a client request.
 type body struct {
-	held []byte
-	// rest is what did not fit, or nil. It can be read once.
-	rest io.Reader
-	// length in bytes, or -1 if unknown.
-	length int64
-	none   bool
-	gone   bool
+	buffered []byte
+	// remainder is the unread part beyond buffered, or nil. It can be read once.
+	remainder io.Reader
+	// length is the length in bytes, or -1 if unknown.
+	length   int64
+	absent   bool
+	consumed bool
 }
 
-// readBody reads a body up to what is held of it. A limit of 0 is none.
+// readBody reads and buffers the start of a body. A limit of 0 means no limit.
 func readBody(r *http.Request, limit int64) (*body, error) {
 	if limit > 0 && r.ContentLength > limit {
 		return nil, errTooLarge
 	}
 	if r.Body == nil || r.Body == http.NoBody || r.ContentLength == 0 {
-		return &body{none: true}, nil
+		return &body{absent: true}, nil
 	}
-	in := io.Reader(r.Body)
+	source := io.Reader(r.Body)
 	if limit > 0 {
-		in = &limitedReader{in: r.Body, left: limit}
+		source = &limitedReader{source: r.Body, left: limit}
 	}
-	held, err := readHeld(in, r.ContentLength)
+	buffered, err := readBuffered(source, r.ContentLength)
 	if err != nil {
 		return nil, err
 	}
-	b := &body{held: held, length: r.ContentLength}
-	if len(held) == bufferedBody {
-		b.rest = in
+	b := &body{buffered: buffered, length: r.ContentLength}
+	if len(buffered) == maxBufferedBody {
+		b.remainder = source
 		return b, nil
 	}
 	if b.length < 0 {
-		b.length = int64(len(held))
+		b.length = int64(len(buffered))
 	}
 	return b, nil
 }
 
-func readHeld(in io.Reader, length int64) ([]byte, error) {
-	var held bytes.Buffer
+func readBuffered(source io.Reader, length int64) ([]byte, error) {
+	var buffered bytes.Buffer
 	if length > 0 {
-		held.Grow(int(min(length, bufferedBody)) + bytes.MinRead)
+		buffered.Grow(int(min(length, maxBufferedBody)) + bytes.MinRead)
 	}
-	_, err := io.Copy(&held, io.LimitReader(in, bufferedBody))
-	return held.Bytes(), err
+	_, err := io.Copy(&buffered, io.LimitReader(source, maxBufferedBody))
+	return buffered.Bytes(), err
 }
 
-// reader returns the body from its start.
+// reader returns the body from its start, or nil if there is none.
 func (b *body) reader() io.Reader {
 	switch {
-	case b.none:
+	case b.absent:
 		return nil
-	case b.rest != nil:
-		b.gone = true
-		return io.MultiReader(bytes.NewReader(b.held), b.rest)
+	case b.remainder != nil:
+		b.consumed = true
+		return io.MultiReader(bytes.NewReader(b.buffered), b.remainder)
 	}
-	return bytes.NewReader(b.held)
+	return bytes.NewReader(b.buffered)
 }
 
-// limitedReader returns errTooLarge once more than left bytes were read.
+// limitedReader returns errTooLarge once more than left bytes have been read.
 type limitedReader struct {
-	in   io.Reader
-	left int64
+	source io.Reader
+	left   int64
 }
 
 // Read implements io.Reader.
 func (l *limitedReader) Read(p []byte) (int, error) {
-	n, err := l.in.Read(p)
+	n, err := l.source.Read(p)
 	l.left -= int64(n)
 	if l.left < 0 {
 		return 0, errTooLarge
--- a/transport/ingress/explain.go
+++ b/transport/ingress/explain.go
@@ -17,31 +17,31 @@
 )
 
 const (
-	// keptFailed and keptAnswered bound the decisions that are remembered.
-	// Failed requests are asked about, so more of them are kept.
-	keptFailed, keptAnswered = 2048, 512
-	// linesPerSecond and linesAtOnce bound the log lines for each reason.
-	linesPerSecond, linesAtOnce = 20, 50
-	// lateAfter is how long an answered request may take before it is logged
-	// and kept like a failed one, if its route names no objective.
-	lateAfter = time.Second
+	// failedCapacity and answeredCapacity limit the decision records kept in
+	// memory. Failed requests are looked up more often, so more of them are kept.
+	failedCapacity, answeredCapacity = 2048, 512
+	// logLinesPerSecond and logBurst limit the log lines for each reason.
+	logLinesPerSecond, logBurst = 20, 50
+	// defaultObjective is the latency above which an answered request is logged
+	// and kept like a failed one, if its route has no objective.
+	defaultObjective = time.Second
 )
 
-// Decisions are the last decisions on requests, found by the request's id.
+// Decisions keeps the most recent decision records of requests, by request id.
 // It is safe for concurrent use.
 type Decisions struct {
 	failed, answered *decision.Log
 }
 
-// NewDecisions returns an empty log.
+// NewDecisions returns an empty Decisions.
 func NewDecisions() *Decisions {
 	return &Decisions{
-		failed:   decision.New(decision.Config{Capacity: keptFailed}),
-		answered: decision.New(decision.Config{Capacity: keptAnswered}),
+		failed:   decision.New(decision.Config{Capacity: failedCapacity}),
+		answered: decision.New(decision.Config{Capacity: answeredCapacity}),
 	}
 }
 
-// Find returns the decision on a request.
+// Find returns the decision record of a request.
 func (d *Decisions) Find(id string) (decision.Record, bool) {
 	if r, ok := d.failed.Find(id); ok {
 		return r, true
@@ -49,32 +49,32 @@
 	return d.answered.Find(id)
 }
 
-// note adds an input to the record of a request.
-func (q *request) note(name, value string) {
+// addInput adds an input to the decision record of the request.
+func (q *request) addInput(name, value string) {
 	q.record.Inputs = append(q.record.Inputs, decision.Input{Name: name, Value: value})
 }
 
-// noteChoice notes which workers were looked at for a try.
-func (q *request) noteChoice(number int, c placement.Choice, refusal placement.Refusal) {
-	seen := make([]string, 0, len(c.Considered()))
+// recordChoice records which workers were considered for an attempt.
+func (q *request) recordChoice(number int, c placement.Choice, refusal placement.Refusal) {
+	considered := make([]string, 0, len(c.Considered()))
 	for _, w := range c.Considered() {
-		seen = append(seen, w.String())
+		considered = append(considered, w.String())
 	}
-	text := strings.Join(seen, "; ")
+	text := strings.Join(considered, "; ")
 	if refusal != placement.RefusalNone {
 		text = string(refusal) + ": " + text
 	}
-	q.note(fmt.Sprintf("choice %d", number), text)
+	q.addInput(fmt.Sprintf("choice %d", number), text)
 	if c.Steered() != "" {
-		q.note("steered", c.Steered())
+		q.addInput("steered", c.Steered())
 	}
 	if c.PassedOver() != "" {
-		q.note("passed over", c.PassedOver())
+		q.addInput("passed over", c.PassedOver())
 	}
 }
 
-// noteTry notes how a try ended.
-func (q *request) noteTry(number int, c placement.Choice, begun time.Time, f *failure) {
+// recordAttempt records the outcome of an attempt.
+func (q *request) recordAttempt(number int, c placement.Choice, begun time.Time, f *failure) {
 	text := "answered"
 	if f != nil {
 		text = string(f.cause)
@@ -87,25 +87,26 @@
 			text += ": " + f.err.Error()
 		}
 	}
-	took := q.since(begun).Milliseconds()
-	q.note(fmt.Sprintf("try %d", number), fmt.Sprintf("%s at %s after %d ms", text, c.Worker().ID, took))
+	took := q.elapsed(begun).Milliseconds()
+	q.addInput(fmt.Sprintf("try %d", number), fmt.Sprintf("%s at %s after %d ms", text, c.Worker().ID, took))
 }
 
-// finish keeps the record of a request, and logs it if it failed or was late.
-func (q *request) finish(reason string, status int) {
-	took := q.since(q.arrived)
-	q.record.ID, q.record.Time, q.record.VM = q.id, q.arrived, q.handler.cfg.VM
+// recordOutcome stores the decision record of a finished request, and logs it if
+// the request failed or was late.
+func (q *request) recordOutcome(reason string, status int) {
+	took := q.elapsed(q.arrivedAt)
+	q.record.ID, q.record.Time, q.record.VM = q.id, q.arrivedAt, q.handler.cfg.VM
 	q.record.Subject = q.subject()
 	q.record.Rule = reason
 	q.record.Result = fmt.Sprintf("status %d after %d ms", status, took.Milliseconds())
 	if q.route != nil {
-		q.note("route", q.route.Name+" to "+q.service)
+		q.addInput("route", q.route.Name+" to "+q.service)
 	}
 	if age := q.handler.cfg.Age; age != nil {
 		q.record.Inputs = append(q.record.Inputs, decision.Input{Name: "workers and configuration", Value: "as the store had them", Age: age()})
 	}
-	late := took >= q.lateAfter()
-	q.handler.losses.ended(q.service, q.lossCause(reason, late))
+	late := took >= q.objective()
+	q.handler.losses.countEnded(q.service, q.lossCause(reason, late))
 	if reason == reasonAnswered && !late {
 		q.handler.cfg.Decisions.answered.Add(q.record)
 		return
@@ -114,50 +115,50 @@
 		q.record.Rule = reasonLate
 	}
 	q.handler.cfg.Decisions.failed.Add(q.record)
-	q.handler.lines.log(q)
+	q.handler.logLimiter.logRequest(q)
 }
 
-func (q *request) lateAfter() time.Duration {
+func (q *request) objective() time.Duration {
 	if q.route != nil && q.route.Objective > 0 {
 		return q.route.Objective
 	}
-	return lateAfter
+	return defaultObjective
 }
 
-// lines bounds the log lines for each reason, and counts what it leaves out.
-type lines struct {
-	mu      sync.Mutex
-	reasons map[string]*limit
+// logLimiter limits the log lines for each reason and counts the suppressed ones.
+type logLimiter struct {
+	mu       sync.Mutex
+	byReason map[string]*reasonLimiter
 }
 
-type limit struct {
-	limiter *rate.Limiter
-	leftOut int
+type reasonLimiter struct {
+	limiter    *rate.Limiter
+	suppressed int
 }
 
-func newLines() *lines { return &lines{reasons: make(map[string]*limit)} }
+func newLogLimiter() *logLimiter { return &logLimiter{byReason: make(map[string]*reasonLimiter)} }
 
-// allow reports whether a line may be written, and how many of its reason were
-// left out since the last one.
-func (l *lines) allow(reason string) (leftOut int, ok bool) {
+// allow reports whether a line may be logged, and how many lines with the same
+// reason were suppressed since the last one.
+func (l *logLimiter) allow(reason string) (suppressed int, ok bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	m, known := l.reasons[reason]
+	m, known := l.byReason[reason]
 	if !known {
-		m = &limit{limiter: rate.NewLimiter(linesPerSecond, linesAtOnce)}
-		l.reasons[reason] = m
+		m = &reasonLimiter{limiter: rate.NewLimiter(logLinesPerSecond, logBurst)}
+		l.byReason[reason] = m
 	}
 	if !m.limiter.Allow() {
-		m.leftOut++
+		m.suppressed++
 		return 0, false
 	}
-	leftOut, m.leftOut = m.leftOut, 0
-	return leftOut, true
+	suppressed, m.suppressed = m.suppressed, 0
+	return suppressed, true
 }
 
-func (l *lines) log(q *request) {
+func (l *logLimiter) logRequest(q *request) {
 	r := &q.record
-	leftOut, ok := l.allow(r.Rule)
+	suppressed, ok := l.allow(r.Rule)
 	if !ok {
 		q.handler.cfg.Metrics.LogLeftOut(r.Rule)
 		return
@@ -170,8 +171,8 @@
 		}
 		values = append(values, in.Name, value)
 	}
-	if leftOut > 0 {
-		values = append(values, "left_out_before", leftOut)
+	if suppressed > 0 {
+		values = append(values, "left_out_before", suppressed)
 	}
 	q.handler.cfg.Log.Info("ingress: request "+outcomeWord(r.Rule), values...)
 }
--- a/transport/ingress/export_test.go
+++ b/transport/ingress/export_test.go
@@ -3,9 +3,9 @@
 
 package ingress
 
-// TakeLosses returns what was lost since the last call, by service and cause.
-func (h *Handler) TakeLosses() map[string]int {
-	_, lost := h.losses.take()
+// CollectLosses returns what was lost since the last call, by service and cause.
+func (h *Handler) CollectLosses() map[string]int {
+	_, lost := h.losses.collect()
 	sums := make(map[string]int, len(lost))
 	for _, l := range lost {
 		sums[l.Service+": "+l.Cause] = l.Count
--- a/transport/ingress/identify.go
+++ b/transport/ingress/identify.go
@@ -13,83 +13,83 @@
 	"github.com/ryehill/ryehill/state/workspace"
 )
 
-// Reasons of refusals for the sake of workspaces.
+// Reasons of requests refused by authentication or quota.
 const (
-	reasonNoKey      = "key-missing"
-	reasonUnknownKey = "key-unknown"
-	reasonKeysOld    = "keys-not-certain"
+	reasonKeyMissing = "key-missing"
+	reasonKeyUnknown = "key-unknown"
+	reasonKeysStale  = "keys-not-certain"
 	reasonOverQuota  = "workspace-over-quota"
-	// reasonQuotaUnknown is for a VM that does not know yet among how many VMs the
-	// quotas are divided.
+	// reasonQuotaUnknown is used while the VM does not know yet how many VMs share
+	// the quotas.
 	reasonQuotaUnknown = "quota-unknown"
 )
 
-// AdmissionVerdict says whether a workspace's quota has room for a request.
+// AdmissionVerdict tells whether a workspace's quota admits a request.
 type AdmissionVerdict int
 
-// Verdicts.
+// Admission verdicts.
 const (
 	AdmissionPassed AdmissionVerdict = iota
-	// AdmissionOver means that the workspace has had what it may.
+	// AdmissionOver means that the quota of the workspace is exhausted.
 	AdmissionOver
-	// AdmissionUnknown means that the VM does not know yet what it may let pass.
+	// AdmissionUnknown means that the VM does not know its part of the quota yet.
 	AdmissionUnknown
 )
 
-// Admission is a Limiter's answer.
+// Admission is the result of a quota check.
 type Admission struct {
 	Verdict AdmissionVerdict
-	// After is the time after which there may be room, Why what the answer rests on.
+	// After is when the quota may admit a request again; Why explains the verdict.
 	After time.Duration
 	Why   string
-	// Refund takes back what was counted, if no worker has run the request. Nil is
-	// nothing to take back: what other VMs granted is not given back.
+	// Refund returns the request to the quota if no worker has run it. It is nil
+	// if there is nothing to return, as for quota granted by other VMs.
 	Refund func()
 }
 
-// Limiter bounds what each workspace has run at all VMs together. It is used by
-// several goroutines.
+// Limiter enforces the request quota of each workspace across all VMs. It must be
+// safe for concurrent use.
 type Limiter interface {
-	// Take counts a request of a workspace, or says why it may not run. It may ask
-	// another VM, but returns soon.
+	// Take counts a request against the quota of a workspace, or returns why it is
+	// not admitted. It may call another VM, but returns soon.
 	Take(ctx context.Context, w *workspace.Workspace) Admission
 }
 
-// Keys says how far what this VM knows of API keys can be trusted.
+// Keys reports how current this VM's knowledge of API keys is.
 type Keys interface {
-	// Renew returns once what is known of keys is younger than the call, or after
-	// a short while. However many requests with unknown keys come, the questions
-	// that it asks of others are bounded.
+	// Renew returns once the known keys are newer than the call, or after a short
+	// timeout. The calls it makes to others are bounded, however many requests
+	// have unknown keys.
 	Renew(ctx context.Context, key workspace.Digest)
-	// Certain reports whether keys that were taken away in time are known to be;
-	// requests that need a key are refused while they are not.
+	// Certain reports whether revoked keys are known as revoked in time. While
+	// it returns false, requests that need a key are refused.
 	Certain() bool
-	// Current reports whether a key that was given in time is known by now.
+	// Current reports whether newly issued keys are known in time.
 	Current() bool
 }
 
-// unbounded is the Limiter and the Keys of a Handler without any.
-type unbounded struct{}
+// unrestricted is the default Limiter and Keys of a Handler.
+type unrestricted struct{}
 
-func (unbounded) Take(context.Context, *workspace.Workspace) Admission { return Admission{} }
-func (unbounded) Renew(context.Context, workspace.Digest)              {}
-func (unbounded) Certain() bool                                        { return true }
-func (unbounded) Current() bool                                        { return true }
+func (unrestricted) Take(context.Context, *workspace.Workspace) Admission { return Admission{} }
+func (unrestricted) Renew(context.Context, workspace.Digest)              {}
+func (unrestricted) Certain() bool                                        { return true }
+func (unrestricted) Current() bool                                        { return true }
 
-// identify finds the workspace of a request by its API key, and answers the request
-// if it may not be served. Nothing of the key but a short digest is noted.
-func (q *request) identify(s *placement.Snapshot) (served bool) {
+// authenticate finds the workspace of a request by its API key, and responds to the
+// request if it may not be served. Only a short digest of the key is recorded.
+func (q *request) authenticate(s *placement.Snapshot) (served bool) {
 	directory := s.Routes.Workspaces()
 	if directory == nil {
 		return true
 	}
-	q.hideKey = true
+	q.stripAPIKey = true
 	key, given := q.handler.cfg.Dialect.APIKey(q.in)
 	switch {
 	case !given && q.route.Public:
 		return true
 	case !given:
-		q.reject(http.StatusUnauthorized, reasonNoKey)
+		q.reject(http.StatusUnauthorized, reasonKeyMissing)
 		return false
 	}
 	digest := workspace.DigestOf(key)
@@ -98,31 +98,31 @@
 		q.handler.cfg.Keys.Renew(q.in.Context(), digest)
 		found, ok = q.handler.cfg.Snapshot().Routes.Workspaces().Find(digest)
 	}
-	q.note("key", digest.String())
+	q.addInput("key", digest.String())
 	if ok {
 		q.workspace = found
-		q.note("workspace", found.Name())
+		q.addInput("workspace", found.Name())
 	}
-	return q.keyHolds(ok)
+	return q.checkKey(ok)
 }
 
-// keyHolds reports whether a request with a key may be served, and answers it if
-// not: 401 only if the key would be known if there were one.
-func (q *request) keyHolds(known bool) bool {
+// checkKey reports whether a request with an API key may be served, and responds to it
+// if not. It responds with 401 only if the VM would know a newly issued key by now.
+func (q *request) checkKey(known bool) bool {
 	switch {
 	case q.route.Public:
 		return true
 	case !q.handler.cfg.Keys.Certain(), !known && !q.handler.cfg.Keys.Current():
-		q.refuse(reasonKeysOld)
+		q.refuse(reasonKeysStale)
 		return false
 	case !known:
-		q.reject(http.StatusUnauthorized, reasonUnknownKey)
+		q.reject(http.StatusUnauthorized, reasonKeyUnknown)
 		return false
 	}
 	return true
 }
 
-// admit takes the request into its workspace's quota, or answers it.
+// admit counts the request against its workspace's quota, or responds to it.
 func (q *request) admit() (served bool) {
 	if q.workspace == nil {
 		return true
@@ -130,7 +130,7 @@
 	q.admission = q.handler.cfg.Limiter.Take(q.in.Context(), q.workspace)
 	switch q.admission.Verdict {
 	case AdmissionOver:
-		q.refuseOver()
+		q.rejectOverQuota()
 		return false
 	case AdmissionUnknown:
 		q.refuse(reasonQuotaUnknown)
@@ -140,24 +140,24 @@
 	return true
 }
 
-// refuseOver answers a request for which its workspace's quota has no room.
-func (q *request) refuseOver() {
-	q.note("quota", q.admission.Why)
+// rejectOverQuota responds with 429 and Retry-After.
+func (q *request) rejectOverQuota() {
+	q.addInput("quota", q.admission.Why)
 	q.handler.cfg.Metrics.Refused(reasonOverQuota)
-	q.finish(reasonOverQuota, http.StatusTooManyRequests)
+	q.recordOutcome(reasonOverQuota, http.StatusTooManyRequests)
 	q.out.Header().Set("Retry-After", strconv.FormatFloat(q.admission.After.Seconds(), 'f', 3, 64))
-	q.end(http.StatusTooManyRequests)
+	q.writeStatus(http.StatusTooManyRequests)
 }
 
-// leaveQuota gives a request that no worker has run back to its workspace's quota.
-func (q *request) leaveQuota() {
+// refundQuota returns a request that no worker has run to its workspace's quota.
+func (q *request) refundQuota() {
 	if q.admission.Refund != nil && !q.headSent && !q.mayHaveRun {
 		q.admission.Refund()
 	}
 }
 
-// allowsRegion reports whether the request may run in a region: the homes of its
-// route and of its workspace both bind.
+// allowsRegion reports whether both the route and the workspace of the request allow
+// it to run in a region.
 func (q *request) allowsRegion(region string) bool {
 	return q.route.AllowsRegion(region) && (q.workspace == nil || q.workspace.AllowsRegion(region))
 }
--- a/transport/ingress/ingress.go
+++ b/transport/ingress/ingress.go
@@ -1,16 +1,15 @@
 // Copyright 2026 The ryehill Authors
 // SPDX-License-Identifier: Apache-2.0
 
-// Package ingress serves clients: it finds the route of a request by host and
-// path, sends the request to a worker of the route's service, and returns that
-// worker's answer unchanged.
+// Package ingress serves client requests: it matches the route of a request by host
+// and path, sends the request to a worker of the route's service, and returns the
+// response of that worker unchanged.
 //
-// What may be sent again is decided in one place, package retry: a request that
-// may run only once is sent to another worker only if it is certain that no
-// worker has begun to run it. Status 503 is answered only where that is
-// certain, at once and with a time to come back; 502 and 504 where a worker may
-// have run it. An answer that ends early never looks whole: the client's
-// connection is closed instead.
+// Whether a request is retried is decided by package retry: a request that is not
+// repeatable is sent to another worker only if certainly no worker has begun to run
+// it. Only in that case is a request refused with 503, at once and with Retry-After;
+// if a worker may have run it, the status is 502 or 504. A truncated response never
+// looks complete: the client's connection is closed instead.
 //
 // # Usage
 //
@@ -43,41 +42,41 @@
 	"github.com/ryehill/ryehill/transport/upstream"
 )
 
-// Dialect reads and writes the headers by which clients, VMs and workers
-// understand each other. Its methods are called by several goroutines.
+// Dialect reads and writes the headers exchanged between clients, VMs and workers. It
+// must be safe for concurrent use.
 type Dialect interface {
-	// RequestID returns the id that the client gave its request.
+	// RequestID returns the id that the client gave the request.
 	RequestID(r *http.Request) string
-	// Patience returns how long the client waits.
+	// Patience returns how long the client waits for a response, if the request says so.
 	Patience(r *http.Request) (time.Duration, bool)
-	// Key returns the affinity key of a request.
+	// Key returns the affinity key of a request, if it has one.
 	Key(r *http.Request) (string, bool)
-	// APIKey returns the API key of a request.
+	// APIKey returns the API key of a request, if it has one.
 	APIKey(r *http.Request) (string, bool)
-	// SetWorkspace names the workspace to a worker, "" being none, and takes off
-	// the key and what the client says of a workspace.
+	// SetWorkspace sets the workspace in a request to a worker, "" for none, and
+	// removes the API key and any workspace header of the client.
 	SetWorkspace(h http.Header, name string)
-	// Address sets the worker that is meant and the time it has.
+	// Address sets the id of the target worker and the remaining time.
 	Address(h http.Header, workerID string, left time.Duration)
-	// Load returns the requests that a worker runs and holds, from an answer.
+	// Load returns the running and waiting requests that a worker reports in a response.
 	Load(h http.Header) (running, waiting int, ok bool)
-	// Leaving reports whether a worker says in an answer that it leaves.
+	// Leaving reports whether a worker declares in a response that it is leaving.
 	Leaving(h http.Header) bool
-	// Rest returns for how long a worker wants nothing from this VM, by the status
-	// and head of an answer.
+	// Rest returns for how long a worker asks this VM to send it no requests, if the
+	// response does so.
 	Rest(status int, h http.Header) (time.Duration, bool)
-	// RateLimit returns the requests a second that a worker takes from all VMs together,
-	// math.Inf(1) if an answer names no limit. An error means that the answer says nothing
-	// of it that can be read.
+	// RateLimit returns the rate, in requests per second, that a worker accepts from
+	// all VMs together, or math.Inf(1) if the response declares no limit. An error
+	// means that the limit in the response is malformed.
 	RateLimit(h http.Header) (perS float64, err error)
 }
 
-// Config sets up a Handler. All fields but Retry and those that say
-// what nil means are required.
+// Config configures a Handler. All fields are required except Retry and those whose
+// comment describes nil or a default.
 type Config struct {
-	// VM names this VM in records.
+	// VM is the name of this VM in decision records.
 	VM string
-	// Snapshot returns what is believed now, or nil before anything is known.
+	// Snapshot returns the current state, or nil before any is known.
 	Snapshot  func() *placement.Snapshot
 	Placer    *placement.Placer
 	Upstreams *upstream.Client
@@ -85,40 +84,40 @@
 	Metrics   *metrics.Set
 	Log       logr.Logger
 	Decisions *Decisions
-	// Age returns how old the knowledge of workers and configuration is. Nil
-	// leaves it out of records.
+	// Age returns the age of the known workers and configuration. If it is nil,
+	// decision records omit the age.
 	Age func() time.Duration
-	// Demand is told how long workers take. Nil is nobody.
+	// Demand records the response times of workers. Nil disables it.
 	Demand *demand.Meter
-	// Meters sum what is sent to the workers of each hall. Nil sums for nobody.
+	// Meters count the traffic to the workers of each hall. Nil disables them.
 	Meters *load.HallMeters
-	// VMs returns how many VMs share what a worker accepts; at least 1.
+	// VMs returns the number of VMs that share the connection limit of a service; at least 1.
 	VMs func() int
-	// Retry is the budget of each service for tries after the first.
+	// Retry configures the retry budget of each service.
 	Retry retry.Config
-	// Limiter bounds the requests of workspaces. Nil bounds none.
+	// Limiter enforces the quotas of workspaces. Nil means no quotas.
 	Limiter Limiter
-	// Keys says how far what is known of API keys holds. Nil trusts it.
+	// Keys reports how current the known API keys are. Nil means always current.
 	Keys Keys
-	// Quarantine knows the requests that end workers. Nil knows none.
+	// Quarantine tracks requests that crash workers. Nil disables it.
 	Quarantine Quarantine
-	// Rollouts divides requests between the versions of a service. Nil knows one version.
+	// Rollouts divides requests between the versions of a service. Nil means one version.
 	Rollouts Rollouts
-	// LeaveWithin is for how long after a worker has said that it leaves it may get
-	// requests. Default 0: it gets none.
+	// LeaveWithin is how long a worker may still get requests after it has declared
+	// that it is leaving. Default 0: it gets none.
 	LeaveWithin time.Duration
-	// Now tells the time, that of suspensions included. Default time.Now.
+	// Now returns the time, which should include suspensions of the machine. Default time.Now.
 	Now func() time.Time
 }
 
-// Handler serves clients. It is safe for concurrent use.
+// Handler serves client requests. It is safe for concurrent use.
 type Handler struct {
-	cfg      Config
-	split    *placement.Split
-	lines    *lines
-	losses   *losses
-	stopping atomic.Bool
-	inFlight atomic.Int64
+	cfg        Config
+	split      *placement.Split
+	logLimiter *logLimiter
+	losses     *lossCounter
+	stopping   atomic.Bool
+	inFlight   atomic.Int64
 
 	mu      sync.Mutex
 	budgets map[string]*retry.Budget
@@ -127,7 +126,7 @@
 // New returns a handler.
 func New(cfg Config) *Handler {
 	if cfg.Now == nil {
-		cfg.Now = time.Now //nolint:forbidigo // The default for embedders.
+		cfg.Now = time.Now //nolint:forbidigo // Default for embedders.
 	}
 	if cfg.Meters == nil {
 		cfg.Meters = load.NewHallMeters(cfg.Now)
@@ -136,10 +135,10 @@
 		cfg.Demand = demand.NewMeter("")
 	}
 	if cfg.Limiter == nil {
-		cfg.Limiter = unbounded{}
+		cfg.Limiter = unrestricted{}
 	}
 	if cfg.Keys == nil {
-		cfg.Keys = unbounded{}
+		cfg.Keys = unrestricted{}
 	}
 	if cfg.Quarantine == nil {
 		cfg.Quarantine = noQuarantine{}
@@ -147,14 +146,14 @@
 	if cfg.Rollouts == nil {
 		cfg.Rollouts = noRollouts{}
 	}
-	return &Handler{cfg: cfg, split: placement.NewSplit(), lines: newLines(), losses: newLosses(), budgets: make(map[string]*retry.Budget)}
+	return &Handler{cfg: cfg, split: placement.NewSplit(), logLimiter: newLogLimiter(), losses: newLossCounter(), budgets: make(map[string]*retry.Budget)}
 }
 
-// Stop makes every answer from now on close its connection, so that clients
-// move to other VMs.
+// Stop makes every further response close its connection, so that clients reconnect
+// to other VMs.
 func (h *Handler) Stop() { h.stopping.Store(true) }
 
-// InFlight returns how many requests are under way.
+// InFlight returns the number of requests in progress.
 func (h *Handler) InFlight() int { return int(h.inFlight.Load()) }
 
 // ServeHTTP implements http.Handler.
@@ -164,8 +163,8 @@
 	if h.stopping.Load() {
 		w.Header().Set("Connection", "close")
 	}
-	q := &request{handler: h, in: r, out: w, arrived: h.cfg.Now(), id: h.cfg.Dialect.RequestID(r)}
-	snapshot := h.await(r)
+	q := &request{handler: h, in: r, out: w, arrivedAt: h.cfg.Now(), id: h.cfg.Dialect.RequestID(r)}
+	snapshot := h.awaitSnapshot(r)
 	if snapshot == nil {
 		q.refuse(reasonNoConfig)
 		return
@@ -177,35 +176,33 @@
 		return
 	}
 	q.route, q.record.Generation = matched, snapshot.Routes.Version()
-	if !q.identify(snapshot) {
+	if !q.authenticate(snapshot) {
 		return
 	}
 	q.serve(snapshot)
 }
 
 const (
-	// awaitPart is the part of a client's patience for which its request waits at
-	// a VM that knows nothing yet. Clients wait six to eight times as long as an
-	// answer may take to be of full use, so a request that waits for all of it
-	// still has three quarters of that time.
-	awaitPart = 1.0 / 24
-	// leastAwait and mostAwait bound that time: a VM knows its fleet within 0.6 s
-	// of its start, or the store and its peers are away.
-	leastAwait = 120 * time.Millisecond
-	mostAwait  = 600 * time.Millisecond
-	// awaitLook is the time between two looks.
-	awaitLook = 5 * time.Millisecond
+	// startupWaitFraction is the fraction of the client's timeout that a request waits
+	// at a VM that has no snapshot yet. It is small, so that most of the time that the
+	// client waits is left for the response.
+	startupWaitFraction = 1.0 / 24
+	// minStartupWait and maxStartupWait bound that wait. A VM that has no snapshot by
+	// then reaches neither the store nor its peers.
+	minStartupWait = 120 * time.Millisecond
+	maxStartupWait = 600 * time.Millisecond
+	// startupPollInterval is the interval at which the snapshot is polled.
+	startupPollInterval = 5 * time.Millisecond
 )
 
-// await returns what is believed. A VM that has just started waits for a moment
-// until it knows anything: it is about to, and a refusal would use up one of the
-// few retries that clients have.
-func (h *Handler) await(r *http.Request) *placement.Snapshot {
-	moment := leastAwait
-	if patience, ok := h.cfg.Dialect.Patience(r); ok {
-		moment = min(max(time.Duration(float64(patience)*awaitPart), leastAwait), mostAwait)
+// awaitSnapshot returns the current snapshot. A VM that has just started waits briefly
+// for its first one, since a refusal would use up one of the client's few retries.
+func (h *Handler) awaitSnapshot(r *http.Request) *placement.Snapshot {
+	maxWait := minStartupWait
+	if timeout, ok := h.cfg.Dialect.Patience(r); ok {
+		maxWait = min(max(time.Duration(float64(timeout)*startupWaitFraction), minStartupWait), maxStartupWait)
 	}
-	for begun := h.cfg.Now(); h.cfg.Now().Sub(begun) < moment && r.Context().Err() == nil; time.Sleep(awaitLook) {
+	for begun := h.cfg.Now(); h.cfg.Now().Sub(begun) < maxWait && r.Context().Err() == nil; time.Sleep(startupPollInterval) {
 		if s := h.cfg.Snapshot(); s != nil {
 			return s
 		}
@@ -225,55 +222,55 @@
 	return b
 }
 
-// request is one request of a client on its way.
+// request is the state of one client request.
 type request struct {
-	handler *Handler
-	in      *http.Request
-	out     http.ResponseWriter
-	id      string
-	arrived time.Time
-	route   *route.Route
-	// workspace is whose request it is; nil if that does not matter.
+	handler   *Handler
+	in        *http.Request
+	out       http.ResponseWriter
+	id        string
+	arrivedAt time.Time
+	route     *route.Route
+	// workspace is the workspace of the request, or nil if none was identified.
 	workspace *workspace.Workspace
 	admission Admission
-	// hideKey is set if workers are not to see the client's API key.
-	hideKey bool
-	// service is the one chosen for the request.
+	// stripAPIKey is set if the client's API key is not forwarded to workers.
+	stripAPIKey bool
+	// service is the service chosen among the targets of the route.
 	service string
-	// share is this VM's part in bringing in a new version of it, nil if there is none,
-	// and track says which workers the next try may go to.
-	share *rollout.Share
-	track worker.Track
-	until time.Time
-	key   uint64
-	keyed bool
-	body  *body
-	// print is the fingerprint, nil while nobody has asked for it.
-	print *quarantine.Fingerprint
-	tried []string
-	// sent is when the last try was sent.
-	sent time.Time
-	// wait is after what time a worker may get the request, if all of them rest.
-	wait time.Duration
-	// mayHaveRun is set once a worker was given the request and did not say
-	// that it has not run it.
+	// share is this VM's share of the rollout of the service, nil if there is none.
+	// track selects the workers for the next attempt.
+	share    *rollout.Share
+	track    worker.Track
+	deadline time.Time
+	key      uint64
+	keyed    bool
+	body     *body
+	// cachedFingerprint is the fingerprint of the request, nil until it is first used.
+	cachedFingerprint *quarantine.Fingerprint
+	tried             []string
+	// sentAt is the start of the last attempt.
+	sentAt time.Time
+	// retryAfter is the time until a worker is available, if all of them back off.
+	retryAfter time.Duration
+	// mayHaveRun is set once an attempt has failed without certainty that the
+	// worker did not run the request.
 	mayHaveRun bool
-	// headSent is set once the client has the head of its answer, with the
-	// status.
+	// headSent is set once the response header with the status was sent to the
+	// client.
 	headSent bool
 	status   int
-	// answered is how many bytes of the answer's body were passed on.
-	answered int64
-	record   decision.Record
-	// newKey is set if the last worker had no request with this key from this
-	// VM lately, waiting is how many waited there when it answered.
-	newKey  bool
-	waiting int
+	// responseBytes is the number of body bytes sent to the client.
+	responseBytes int64
+	record        decision.Record
+	// keyNewToWorker is set if this VM had not recently sent the last worker a request
+	// with this key. workerQueue is the queue length that the worker reported.
+	keyNewToWorker bool
+	workerQueue    int
 }
 
-// serve carries a request whose route is known to its answer.
+// serve handles a request after its route and workspace are known.
 func (q *request) serve(s *placement.Snapshot) {
-	q.until = q.deadline()
+	q.deadline = q.computeDeadline()
 	if key, ok := q.handler.cfg.Dialect.Key(q.in); ok && q.route.Affinity {
 		q.key, q.keyed = xxhash.Sum64String(key), true
 	} else {
@@ -283,36 +280,35 @@
 	q.share = q.handler.cfg.Rollouts.Share(q.service)
 	var err error
 	if q.body, err = readBody(q.in, s.Routes.Limits().MaxBodyBytes); err != nil {
-		q.badBody(err)
+		q.rejectBody(err)
 		return
 	}
 	if !q.admit() {
 		return
 	}
-	defer q.leaveQuota()
-	ctx, cancel := context.WithTimeout(q.in.Context(), q.left())
+	defer q.refundQuota()
+	ctx, cancel := context.WithTimeout(q.in.Context(), q.remaining())
 	defer cancel()
 	q.handler.budget(q.service).First()
-	q.run(ctx)
-	q.handler.cfg.Metrics.Took(q.service, q.since(q.arrived))
+	q.sendWithRetries(ctx)
+	q.handler.cfg.Metrics.Took(q.service, q.elapsed(q.arrivedAt))
 }
 
-// left returns the time until the request is given up.
-func (q *request) left() time.Duration { return q.until.Sub(q.handler.cfg.Now()) }
+// remaining returns the time until the deadline of the request.
+func (q *request) remaining() time.Duration { return q.deadline.Sub(q.handler.cfg.Now()) }
 
-// since returns the time that has gone by since t.
-func (q *request) since(t time.Time) time.Duration { return q.handler.cfg.Now().Sub(t) }
+// elapsed returns the time since t.
+func (q *request) elapsed(t time.Time) time.Duration { return q.handler.cfg.Now().Sub(t) }
 
-// deadline is when the request is given up: when the client does or when the
-// route's time is over, whichever comes first.
-func (q *request) deadline() time.Time {
-	const unbounded = time.Minute
-	held := unbounded
+// computeDeadline returns the earlier of the client's deadline and that of the route.
+func (q *request) computeDeadline() time.Time {
+	const defaultTimeout = time.Minute
+	timeout := defaultTimeout
 	if q.route.Timeout > 0 {
-		held = q.route.Timeout
+		timeout = q.route.Timeout
 	}
-	if patience, ok := q.handler.cfg.Dialect.Patience(q.in); ok {
-		held = min(held, patience)
+	if clientTimeout, ok := q.handler.cfg.Dialect.Patience(q.in); ok {
+		timeout = min(timeout, clientTimeout)
 	}
-	return q.arrived.Add(held)
+	return q.arrivedAt.Add(timeout)
 }
--- a/transport/ingress/ingress_test.go
+++ b/transport/ingress/ingress_test.go
@@ -28,85 +28,85 @@
 	"github.com/ryehill/ryehill/transport/upstream"
 )
 
-// plain is a dialect with short names.
-type plain struct{}
+// plainDialect is a Dialect with short header names.
+type plainDialect struct{}
 
-func (plain) RequestID(r *http.Request) string { return r.Header.Get("Id") }
+func (plainDialect) RequestID(r *http.Request) string { return r.Header.Get("Id") }
 
-func (plain) Patience(r *http.Request) (time.Duration, bool) {
+func (plainDialect) Patience(r *http.Request) (time.Duration, bool) {
 	ms, err := strconv.Atoi(r.Header.Get("Wait"))
 	return time.Duration(ms) * time.Millisecond, err == nil
 }
 
-func (plain) Key(r *http.Request) (string, bool) {
+func (plainDialect) Key(r *http.Request) (string, bool) {
 	return r.Header.Get("Key"), r.Header.Get("Key") != ""
 }
 
-func (plain) Address(h http.Header, id string, left time.Duration) {
+func (plainDialect) Address(h http.Header, id string, left time.Duration) {
 	h.Set("For", id)
 	h.Set("Wait", strconv.FormatInt(left.Milliseconds(), 10))
 }
 
-func (plain) APIKey(r *http.Request) (string, bool) {
+func (plainDialect) APIKey(r *http.Request) (string, bool) {
 	return r.Header.Get("Api-Key"), r.Header.Get("Api-Key") != ""
 }
 
-func (plain) SetWorkspace(h http.Header, name string) {
+func (plainDialect) SetWorkspace(h http.Header, name string) {
 	h.Del("Api-Key")
 	h.Set("Workspace", name)
 }
 
-func (plain) Load(h http.Header) (running, waiting int, ok bool) {
+func (plainDialect) Load(h http.Header) (running, waiting int, ok bool) {
 	waiting, err := strconv.Atoi(h.Get("Waiting"))
 	return 0, waiting, err == nil
 }
 
-func (plain) Leaving(h http.Header) bool { return h.Get("Leaving") != "" }
+func (plainDialect) Leaving(h http.Header) bool { return h.Get("Leaving") != "" }
 
-func (plain) Rest(status int, h http.Header) (time.Duration, bool) {
+func (plainDialect) Rest(status int, h http.Header) (time.Duration, bool) {
 	rest, err := time.ParseDuration(h.Get("Rest"))
 	return rest, err == nil && status == http.StatusServiceUnavailable
 }
 
-func (plain) Refused(res *http.Response) (upstream.Kind, bool) {
+func (plainDialect) Refused(res *http.Response) (upstream.Kind, bool) {
 	if res.StatusCode == http.StatusMisdirectedRequest {
 		return upstream.KindOther, true
 	}
 	return upstream.KindShed, res.Header.Get("Not-Run") != ""
 }
 
-func (plain) Belongs(req *upstream.Request, res *http.Response) bool {
+func (plainDialect) Belongs(req *upstream.Request, res *http.Response) bool {
 	return req.Header.Get("Id") == res.Header.Get("Id")
 }
 
-func (plain) WithoutLength() bool { return true }
+func (plainDialect) WithoutLength() bool { return true }
 
-// fixture is one VM between a client and workers.
+// fixture is a VM between a client and workers.
 type fixture struct {
-	front    *httptest.Server
+	server   *httptest.Server
 	handler  *ingress.Handler
 	snapshot *placement.Snapshot
-	// decisions are those of the handler.
+	// decisions are the decision records of the handler.
 	decisions *ingress.Decisions
 	loads     *worker.Loads
-	// limiter and keys are those of the handler; serve makes it anew.
+	// limiter and keys are used by the handler after a call of serve.
 	limiter ingress.Limiter
 	keys    ingress.Keys
 
 	mu   sync.Mutex
-	runs map[string][]string // by request id: the workers that got it
+	runs map[string][]string // workers that got each request, by request id
 }
 
-// keyedObjective is within what time requests on the keyed route are answered.
+// keyedObjective is the latency objective of the keyed route.
 const keyedObjective = 60 * time.Millisecond
 
-type oneVM struct{}
+type singleVM struct{}
 
-func (oneVM) Live(string) ([]string, int) { return []string{"vm"}, 1 }
+func (singleVM) Live(string) ([]string, int) { return []string{"vm"}, 1 }
 
-// newFixture starts workers that all behave the same; n is how often the
-// request has come to any worker before.
-func newFixture(t *testing.T, workers int, behave func(n int, w http.ResponseWriter, r *http.Request)) *fixture {
+// newFixture starts workers that all use the same handler function; n is how often
+// any worker got the request before.
+func newFixture(t *testing.T, workers int, handle func(n int, w http.ResponseWriter, r *http.Request)) *fixture {
 	t.Helper()
 	f := &fixture{runs: make(map[string][]string)}
 	var list []worker.Worker
@@ -118,7 +118,7 @@
 			f.runs[r.Header.Get("Id")] = append(f.runs[r.Header.Get("Id")], id)
 			f.mu.Unlock()
 			w.Header().Set("Id", r.Header.Get("Id"))
-			behave(n, w, r)
+			handle(n, w, r)
 		}))
 		t.Cleanup(s.Close)
 		list = append(list, worker.Worker{ID: id, Service: "s", Region: "here", Slots: 4, Address: strings.TrimPrefix(s.URL, "http://")})
@@ -143,8 +143,8 @@
 
 func (f *fixture) serve(t *testing.T) {
 	f.loads = worker.NewLoads(time.Now)
-	cold := placement.NewCold(placement.ColdConfig{VM: "vm", Region: "here", Peers: oneVM{}, Now: time.Now})
-	client := upstream.New(upstream.Config{Dialect: plain{}, DialTimeout: 300 * time.Millisecond})
+	cold := placement.NewCold(placement.ColdConfig{VM: "vm", Region: "here", Peers: singleVM{}, Now: time.Now})
+	client := upstream.New(upstream.Config{Dialect: plainDialect{}, DialTimeout: 300 * time.Millisecond})
 	f.decisions = ingress.NewDecisions()
 	f.handler = ingress.New(ingress.Config{
 		Snapshot: func() *placement.Snapshot {
@@ -153,12 +153,12 @@
 			return f.snapshot
 		},
 		Placer:    placement.New(placement.Config{Region: "here", Loads: f.loads, Cold: cold, Now: time.Now}),
-		Upstreams: client, Dialect: plain{}, Metrics: metrics.New(), Log: logr.Discard(), Decisions: f.decisions,
+		Upstreams: client, Dialect: plainDialect{}, Metrics: metrics.New(), Log: logr.Discard(), Decisions: f.decisions,
 		VMs: func() int { return 1 }, Retry: retry.Config{Burst: 100}, Limiter: f.limiter, Keys: f.keys,
 	})
-	f.front = httptest.NewServer(f.handler)
+	f.server = httptest.NewServer(f.handler)
 	t.Cleanup(func() {
-		f.front.Close()
+		f.server.Close()
 		client.CloseIdle()
 	})
 }
@@ -182,12 +182,12 @@
 	header http.Header
 	err    error
 	took   time.Duration
-	// closing is set if the connection ends with this answer.
-	closing bool
+	// closesConn is set if the server closes the connection after this response.
+	closesConn bool
 }
 
-func (f *fixture) ask(method, path, id, body string, header ...string) reply {
-	req, _ := http.NewRequest(method, f.front.URL+path, strings.NewReader(body))
+func (f *fixture) send(method, path, id, body string, header ...string) reply {
+	req, _ := http.NewRequest(method, f.server.URL+path, strings.NewReader(body))
 	req.Host = "h"
 	req.Header.Set("Id", id)
 	for i := 0; i+1 < len(header); i += 2 {
@@ -200,54 +200,54 @@
 	}
 	defer res.Body.Close()
 	raw, err := io.ReadAll(res.Body)
-	return reply{status: res.StatusCode, body: string(raw), header: res.Header, err: err, took: time.Since(begun), closing: res.Close}
+	return reply{status: res.StatusCode, body: string(raw), header: res.Header, err: err, took: time.Since(begun), closesConn: res.Close}
 }
 
-func ok(_ int, w http.ResponseWriter, r *http.Request) {
+func echoRequest(_ int, w http.ResponseWriter, r *http.Request) {
 	body, _ := io.ReadAll(r.Body)
 	w.Header().Set("Sign", "mine")
 	fmt.Fprintf(w, "%s %s %s", r.Method, r.RequestURI, body)
 }
 
-// reset breaks the connection off as a crashed worker does.
-func reset(w http.ResponseWriter) {
+// resetConnection resets the connection as a crashed worker does.
+func resetConnection(w http.ResponseWriter) {
 	conn, _, _ := w.(http.Hijacker).Hijack()
 	_ = conn.(*net.TCPConn).SetLinger(0)
 	_ = conn.Close()
 }
 
-func TestRequestsAndAnswersPassUnchanged(t *testing.T) {
+func TestForwardsUnchanged(t *testing.T) {
 	Convey("With one worker", t, func() {
-		f := newFixture(t, 1, ok)
-		Convey("method, path, query, body and the answer's signature pass", func() {
-			r := f.ask(http.MethodPost, "/pay/a%2fb//c?x=%20y", "1", "money")
+		f := newFixture(t, 1, echoRequest)
+		Convey("method, path, query, body and response header are forwarded", func() {
+			r := f.send(http.MethodPost, "/pay/a%2fb//c?x=%20y", "1", "money")
 			So(r.status, ShouldEqual, http.StatusOK)
 			So(r.body, ShouldEqual, "POST /pay/a%2fb//c?x=%20y money")
 			So(r.header.Get("Sign"), ShouldEqual, "mine")
 			So(r.header.Get("Content-Encoding"), ShouldBeEmpty)
 		})
-		Convey("a body beyond what is held passes whole", func() {
+		Convey("a body larger than the buffer is forwarded completely", func() {
 			body := strings.Repeat("x", 3<<20)
-			r := f.ask(http.MethodPost, "/pay/", "2", body)
+			r := f.send(http.MethodPost, "/pay/", "2", body)
 			So(len(r.body), ShouldEqual, len("POST /pay/ ")+len(body))
 		})
-		Convey("a body beyond the limit is rejected", func() {
-			r := f.ask(http.MethodPost, "/pay/", "3", strings.Repeat("x", 5<<20))
+		Convey("a body above the limit is rejected", func() {
+			r := f.send(http.MethodPost, "/pay/", "3", strings.Repeat("x", 5<<20))
 			So(r.err != nil || r.status == http.StatusRequestEntityTooLarge, ShouldBeTrue)
 			So(f.ran("3"), ShouldBeEmpty)
 		})
 		Convey("a path without a route gets 404", func() {
-			So(f.ask(http.MethodGet, "/none/", "4", "").status, ShouldEqual, http.StatusNotFound)
+			So(f.send(http.MethodGet, "/none/", "4", "").status, ShouldEqual, http.StatusNotFound)
 		})
-		Convey("a stopping VM closes each connection with its answer", func() {
+		Convey("a stopping VM closes the connection after the response", func() {
 			f.handler.Stop()
-			So(f.ask(http.MethodGet, "/read/", "5", "").closing, ShouldBeTrue)
+			So(f.send(http.MethodGet, "/read/", "5", "").closesConn, ShouldBeTrue)
 		})
 	})
-	Convey("Every request can be explained by its id", t, func() {
-		f := newFixture(t, 1, ok)
-		f.ask(http.MethodPost, "/pay/", "answered", "")
-		f.ask(http.MethodGet, "/none/", "refused", "")
+	Convey("The decision record of a request is found by its id", t, func() {
+		f := newFixture(t, 1, echoRequest)
+		f.send(http.MethodPost, "/pay/", "answered", "")
+		f.send(http.MethodGet, "/none/", "refused", "")
 		answered, found := f.decisions.Find("answered")
 		So(found, ShouldBeTrue)
 		So(answered.Rule, ShouldEqual, "answered")
@@ -256,17 +256,17 @@
 		So(found, ShouldBeTrue)
 		So(refused.Rule, ShouldEqual, "no-route")
 	})
-	Convey("Before any configuration is known, the answer is 503 with a time to come back", t, func() {
-		f := newFixture(t, 1, ok)
+	Convey("Without a snapshot the response is 503 with Retry-After", t, func() {
+		f := newFixture(t, 1, echoRequest)
 		f.setSnapshot(nil)
-		r := f.ask(http.MethodGet, "/read/", "1", "")
+		r := f.send(http.MethodGet, "/read/", "1", "")
 		So(r.status, ShouldEqual, http.StatusServiceUnavailable)
 		So(r.header.Get("Retry-After"), ShouldNotBeEmpty)
 	})
 }
 
-// What is sent again, how often, and what the client is told.
-func TestSendingAgain(t *testing.T) {
+// Guards against wrong retries and wrong statuses after failed attempts.
+func TestRetries(t *testing.T) {
 	shed := func(w http.ResponseWriter) {
 		w.Header().Set("Not-Run", "1")
 		w.WriteHeader(http.StatusServiceUnavailable)
@@ -277,54 +277,54 @@
 				fail(w)
 				return
 			}
-			ok(n, w, r)
+			echoRequest(n, w, r)
 		}
 	}
 	always := func(fail func(http.ResponseWriter)) func(int, http.ResponseWriter, *http.Request) {
 		return func(_ int, w http.ResponseWriter, _ *http.Request) { fail(w) }
 	}
-	unsigned := func(w http.ResponseWriter) {
+	wrongRequest := func(w http.ResponseWriter) {
 		w.Header().Set("Id", "another")
 		_, _ = io.WriteString(w, "another's")
 	}
 	cases := map[string]struct {
 		path   string
-		behave func(int, http.ResponseWriter, *http.Request)
+		handle func(int, http.ResponseWriter, *http.Request)
 		status int
 		sends  int
 	}{
-		"refused, may run once":               {"/pay/", firstOnly(shed), http.StatusOK, 2},
-		"refused everywhere":                  {"/pay/", always(shed), http.StatusServiceUnavailable, 2},
-		"refused everywhere, repeatable":      {"/read/", always(shed), http.StatusServiceUnavailable, 2},
-		"broken off, may run once":            {"/pay/", firstOnly(reset), http.StatusBadGateway, 1},
-		"broken off, repeatable":              {"/read/", firstOnly(reset), http.StatusOK, 2},
-		"broken off everywhere, repeatable":   {"/read/", always(reset), http.StatusBadGateway, 2},
-		"another's answer, may run once":      {"/pay/", firstOnly(unsigned), http.StatusGatewayTimeout, 1},
-		"another's answer, repeatable":        {"/read/", firstOnly(unsigned), http.StatusOK, 2},
-		"a failure of the worker's own is it": {"/read/", func(_ int, w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusInternalServerError) }, http.StatusInternalServerError, 1},
+		"refused, not repeatable":                     {"/pay/", firstOnly(shed), http.StatusOK, 2},
+		"refused everywhere":                          {"/pay/", always(shed), http.StatusServiceUnavailable, 2},
+		"refused everywhere, repeatable":              {"/read/", always(shed), http.StatusServiceUnavailable, 2},
+		"connection reset, not repeatable":            {"/pay/", firstOnly(resetConnection), http.StatusBadGateway, 1},
+		"connection reset, repeatable":                {"/read/", firstOnly(resetConnection), http.StatusOK, 2},
+		"connection reset everywhere, repeatable":     {"/read/", always(resetConnection), http.StatusBadGateway, 2},
+		"response to another request, not repeatable": {"/pay/", firstOnly(wrongRequest), http.StatusGatewayTimeout, 1},
+		"response to another request, repeatable":     {"/read/", firstOnly(wrongRequest), http.StatusOK, 2},
+		"error response of the worker is final":       {"/read/", func(_ int, w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusInternalServerError) }, http.StatusInternalServerError, 1},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
-			f := newFixture(t, 3, c.behave)
-			r := f.ask(http.MethodPost, c.path, "7", "x")
+			f := newFixture(t, 3, c.handle)
+			r := f.send(http.MethodPost, c.path, "7", "x")
 			if r.status != c.status || len(f.ran("7")) != c.sends {
 				t.Errorf("status %d after %v, want %d after %d sends (%v)", r.status, f.ran("7"), c.status, c.sends, r.err)
 			}
 			if r.status == http.StatusServiceUnavailable && r.header.Get("Retry-After") == "" {
-				t.Error("503 without a time to come back")
+				t.Error("503 without Retry-After")
 			}
 		})
 	}
 }
 
-// An answer that breaks off after its head was passed on must not look whole.
-func TestBrokenAnswerDoesNotLookWhole(t *testing.T) {
-	for name, framed := range map[string]bool{"with a length": true, "without a length": false} {
+// Guards against a truncated response that looks complete to the client.
+func TestTruncatedResponse(t *testing.T) {
+	for name, withLength := range map[string]bool{"with a length": true, "without a length": false} {
 		t.Run(name, func(t *testing.T) {
 			f := newFixture(t, 1, func(_ int, w http.ResponseWriter, r *http.Request) {
 				conn, out, _ := w.(http.Hijacker).Hijack()
 				length := ""
-				if framed {
+				if withLength {
 					length = "Content-Length: 2000000\r\n"
 				}
 				fmt.Fprintf(out, "HTTP/1.1 200 OK\r\nId: %s\r\n%s\r\n%s", r.Header.Get("Id"), length, strings.Repeat("x", 1<<20))
@@ -333,15 +333,15 @@
 				_ = conn.(*net.TCPConn).SetLinger(0)
 				_ = conn.Close()
 			})
-			r := f.ask(http.MethodPost, "/pay/", "1", "")
+			r := f.send(http.MethodPost, "/pay/", "1", "")
 			if r.err == nil && r.status == http.StatusOK {
-				t.Errorf("%d bytes looked whole", len(r.body))
+				t.Errorf("a truncated response of %d bytes looked complete", len(r.body))
 			}
 		})
 	}
 }
 
-func TestTimes(t *testing.T) {
+func TestTimeouts(t *testing.T) {
 	slow := func(_ int, w http.ResponseWriter, r *http.Request) {
 		select {
 		case <-r.Context().Done():
@@ -352,54 +352,54 @@
 	Convey("A silent worker", t, func() {
 		f := newFixture(t, 2, slow)
 		Convey("ends with 504 at the client's deadline", func() {
-			r := f.ask(http.MethodPost, "/pay/", "1", "", "Wait", "300")
+			r := f.send(http.MethodPost, "/pay/", "1", "", "Wait", "300")
 			So(r.status, ShouldEqual, http.StatusGatewayTimeout)
 			So(r.took, ShouldBeBetween, 250*time.Millisecond, 600*time.Millisecond)
 		})
-		Convey("ends with 504 at the route's time, if that is earlier", func() {
-			r := f.ask(http.MethodPost, "/pay/", "2", "", "Wait", "9000")
+		Convey("ends with 504 at the route's timeout, if that is earlier", func() {
+			r := f.send(http.MethodPost, "/pay/", "2", "", "Wait", "9000")
 			So(r.status, ShouldEqual, http.StatusGatewayTimeout)
 			So(r.took, ShouldBeBetween, 900*time.Millisecond, 1400*time.Millisecond)
 		})
 	})
-	Convey("A repeatable request goes to another worker when its own is silent for long", t, func() {
+	Convey("A repeatable request is sent to another worker if the first does not respond", t, func() {
 		f := newFixture(t, 2, func(n int, w http.ResponseWriter, r *http.Request) {
 			if n == 0 {
 				slow(n, w, r)
 				return
 			}
-			ok(n, w, r)
+			echoRequest(n, w, r)
 		})
-		r := f.ask(http.MethodGet, "/read/", "1", "", "Wait", "800")
+		r := f.send(http.MethodGet, "/read/", "1", "", "Wait", "800")
 		So(r.status, ShouldEqual, http.StatusOK)
 		So(f.ran("1"), ShouldHaveLength, 2)
-		Convey("but not at a VM that stops: what its worker is at work on is not broken off", func() {
+		Convey("but not at a stopping VM, where work in progress is not canceled", func() {
 			f.handler.Stop()
-			r := f.ask(http.MethodGet, "/read/", "2", "", "Wait", "600")
+			r := f.send(http.MethodGet, "/read/", "2", "", "Wait", "600")
 			So(r.status, ShouldEqual, http.StatusGatewayTimeout)
 			So(f.ran("2"), ShouldHaveLength, 1)
 		})
 	})
-	Convey("nor where no other worker has room: the first one is waited for", t, func() {
+	Convey("Without another worker that has capacity, the first one is waited for", t, func() {
 		f := newFixture(t, 1, func(_ int, w http.ResponseWriter, _ *http.Request) {
 			time.Sleep(600 * time.Millisecond)
 			w.WriteHeader(http.StatusOK)
 		})
-		r := f.ask(http.MethodGet, "/read/", "1", "", "Wait", "900")
+		r := f.send(http.MethodGet, "/read/", "1", "", "Wait", "900")
 		So(r.status, ShouldEqual, http.StatusOK)
 	})
-	Convey("The worker is told what is left of the client's time", t, func() {
+	Convey("The worker gets the remaining time of the client", t, func() {
 		f := newFixture(t, 1, func(_ int, w http.ResponseWriter, r *http.Request) {
 			_, _ = io.WriteString(w, r.Header.Get("Wait"))
 		})
-		left, err := strconv.Atoi(f.ask(http.MethodGet, "/read/", "1", "", "Wait", "500").body)
+		left, err := strconv.Atoi(f.send(http.MethodGet, "/read/", "1", "", "Wait", "500").body)
 		So(err, ShouldBeNil)
 		So(left, ShouldBeBetween, 300, 501)
 	})
 }
 
-// A worker stops when the client leaves.
-func TestClientLeaves(t *testing.T) {
+// Guards against workers that keep running a request after its client disconnected.
+func TestClientDisconnects(t *testing.T) {
 	stopped := make(chan struct{})
 	f := newFixture(t, 1, func(_ int, _ http.ResponseWriter, r *http.Request) {
 		<-r.Context().Done()
@@ -407,7 +407,7 @@
 	})
 	ctx, cancel := context.WithTimeout(context.Background(), 100*time.Millisecond)
 	defer cancel()
-	req, _ := http.NewRequestWithContext(ctx, http.MethodGet, f.front.URL+"/read/", nil)
+	req, _ := http.NewRequestWithContext(ctx, http.MethodGet, f.server.URL+"/read/", nil)
 	req.Host = "h"
 	if res, err := http.DefaultClient.Do(req); err == nil {
 		res.Body.Close()
@@ -415,30 +415,30 @@
 	select {
 	case <-stopped:
 	case <-time.After(2 * time.Second):
-		t.Fatal("the worker still works 2 s later")
+		t.Fatal("the worker still runs the request after 2 s")
 	}
 }
 
-// Where a worker holds all that it may, the answer comes at once.
-func TestRefusedAtOnce(t *testing.T) {
+// Guards against requests that wait although their worker is full.
+func TestFullWorkerRefusesImmediately(t *testing.T) {
 	release := make(chan struct{})
 	f := newFixture(t, 1, func(_ int, w http.ResponseWriter, _ *http.Request) {
 		<-release
 		w.WriteHeader(http.StatusOK)
 	})
 	defer close(release)
-	const most = 8 // Twice the worker's slots.
-	for i := range most {
-		go f.ask(http.MethodPost, "/pay/", fmt.Sprint("busy", i), "", "Wait", "900")
+	const capacity = 8 // twice the slots of the worker
+	for i := range capacity {
+		go f.send(http.MethodPost, "/pay/", fmt.Sprint("busy", i), "", "Wait", "900")
 	}
-	for deadline := time.Now().Add(time.Second); f.handler.InFlight() < most && time.Now().Before(deadline); {
+	for deadline := time.Now().Add(time.Second); f.handler.InFlight() < capacity && time.Now().Before(deadline); {
 		time.Sleep(time.Millisecond)
 	}
-	r := f.ask(http.MethodPost, "/pay/", "last", "", "Wait", "900")
+	r := f.send(http.MethodPost, "/pay/", "last", "", "Wait", "900")
 	if r.status != http.StatusServiceUnavailable || r.took > 200*time.Millisecond || r.header.Get("Retry-After") == "" {
 		t.Errorf("status %d after %s, Retry-After %q", r.status, r.took, r.header.Get("Retry-After"))
 	}
 	if len(f.ran("last")) != 0 {
-		t.Error("it was sent")
+		t.Error("the request was sent to a worker")
 	}
 }
--- a/transport/ingress/losses.go
+++ b/transport/ingress/losses.go
@@ -13,73 +13,72 @@
 	"github.com/ryehill/ryehill/coordination/placement"
 )
 
-// Causes of late answers. A request that was refused or failed has its reason as
-// its cause.
+// Causes of late responses. For a refused or failed request the cause is its reason.
 const (
-	// causeRetried is a request that was sent more than once.
+	// causeRetried means that the request was sent more than once.
 	causeRetried = "late: sent again"
-	// causeFirst is the first request with its key that this VM sends the
-	// worker: the worker is slow with it, and no worker would be faster.
-	causeFirst = "late: key new to the worker"
-	// causeQueued is a request that waited behind others at the worker.
+	// causeNewKey means that this VM had not recently sent the worker a request with
+	// this affinity key. No other worker would have been faster.
+	causeNewKey = "late: key new to the worker"
+	// causeQueued means that other requests were queued at the worker.
 	causeQueued = "late: others waited at the worker"
-	// causeSlow is none of these.
+	// causeSlow means that no other cause applies.
 	causeSlow = "late: slow"
 )
 
 const (
-	// lossInterval is the time between two lines on losses.
-	lossInterval = 2 * time.Second
-	// maxCauses bounds the services and causes of one line; what is beyond is
-	// counted as causeOther.
-	maxCauses  = 256
-	causeOther = "other"
-	// maxKnown bounds the keys of workers that are remembered in each of two
-	// halves, the older of which is forgotten: 1 MB at most.
-	maxKnown = 16384
+	// lossLogInterval is the interval of the log lines on losses.
+	lossLogInterval = 2 * time.Second
+	// maxLossEntries limits the pairs of service and cause in one line. Further ones
+	// are counted as causeOther.
+	maxLossEntries = 256
+	causeOther     = "other"
+	// maxRecentKeys is the size of each of the two generations of recent keys. The
+	// older one is dropped when the newer one is full.
+	maxRecentKeys = 16384
 )
 
-// Loss is how many requests of a service were late, refused or failed for one
-// cause.
+// Loss is the number of requests of a service that were late, refused or failed
+// for one cause.
 type Loss struct {
 	Service string `json:"service"`
 	Cause   string `json:"cause"`
 	Count   int    `json:"count"`
 }
 
-// losses counts what was lost since the last line. It is safe for concurrent use.
-type losses struct {
+// lossCounter counts losses since the last log line. It is safe for concurrent use.
+type lossCounter struct {
 	mu       sync.Mutex
 	requests int
-	lost     map[Loss]int // keyed without a count
-	// known are the keys that workers have had from this VM; older is the half
-	// that is forgotten next.
-	known, older map[uint64]struct{}
+	lost     map[Loss]int // the keys have Count 0
+	// recentKeys holds the pairs of worker and affinity key sent by this VM; olderKeys
+	// is the previous generation.
+	recentKeys, olderKeys map[uint64]struct{}
 }
 
-func newLosses() *losses {
-	return &losses{lost: make(map[Loss]int), known: make(map[uint64]struct{}), older: make(map[uint64]struct{})}
+func newLossCounter() *lossCounter {
+	return &lossCounter{lost: make(map[Loss]int), recentKeys: make(map[uint64]struct{}), olderKeys: make(map[uint64]struct{})}
 }
 
-// sent notes that a worker gets a request with a key, and reports whether this
-// VM has sent it one with that key lately.
-func (l *losses) sent(worker string, key uint64) bool {
+// markSent records that a worker is sent a request with a key, and reports whether
+// this VM has recently sent it one with the same key.
+func (l *lossCounter) markSent(worker string, key uint64) bool {
 	id := xxhash.Sum64String(worker) ^ key*0x9e3779b97f4a7c15
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	_, known := l.known[id]
-	if _, old := l.older[id]; old {
+	_, known := l.recentKeys[id]
+	if _, old := l.olderKeys[id]; old {
 		known = true
 	}
-	l.known[id] = struct{}{}
-	if len(l.known) >= maxKnown {
-		l.older, l.known = l.known, make(map[uint64]struct{})
+	l.recentKeys[id] = struct{}{}
+	if len(l.recentKeys) >= maxRecentKeys {
+		l.olderKeys, l.recentKeys = l.recentKeys, make(map[uint64]struct{})
 	}
 	return known
 }
 
-// ended counts a request that ended; cause is "" if nothing was lost.
-func (l *losses) ended(service, cause string) {
+// countEnded counts a finished request. The cause is empty if it is no loss.
+func (l *lossCounter) countEnded(service, cause string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.requests++
@@ -87,14 +86,14 @@
 		return
 	}
 	key := Loss{Service: service, Cause: cause}
-	if _, ok := l.lost[key]; !ok && len(l.lost) >= maxCauses {
+	if _, ok := l.lost[key]; !ok && len(l.lost) >= maxLossEntries {
 		key = Loss{Cause: causeOther}
 	}
 	l.lost[key]++
 }
 
-// take returns the requests that ended since the last call, and what was lost.
-func (l *losses) take() (requests int, lost []Loss) {
+// collect returns the counts since the last call and resets them.
+func (l *lossCounter) collect() (requests int, lost []Loss) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for key, n := range l.lost {
@@ -107,11 +106,11 @@
 	return requests, lost
 }
 
-// LogLosses writes a line on what was lost, and why, every two seconds in which
-// anything was, until ctx ends. Lines on single requests are bounded; these
-// count all.
+// LogLosses logs the losses by service and cause every two seconds, if there are any,
+// until ctx is canceled. Unlike the log lines of single requests, these counts are
+// complete.
 func (h *Handler) LogLosses(ctx context.Context) {
-	ticker := time.NewTicker(lossInterval)
+	ticker := time.NewTicker(lossLogInterval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -119,13 +118,13 @@
 			return
 		case <-ticker.C:
 		}
-		if requests, lost := h.losses.take(); len(lost) > 0 {
+		if requests, lost := h.losses.collect(); len(lost) > 0 {
 			h.cfg.Log.Info("ingress: losses", "requests", requests, "lost", lost)
 		}
 	}
 }
 
-// lossCause says why a request that ended earned less than it might, or "".
+// lossCause returns why a request was late, refused or failed, or "" if it was not.
 func (q *request) lossCause(reason string, late bool) string {
 	switch {
 	case reason == reasonAnswered && !late:
@@ -134,19 +133,19 @@
 		return reason
 	case len(q.tried) > 1:
 		return causeRetried
-	case q.newKey:
-		return causeFirst
-	case q.waiting > 0:
+	case q.keyNewToWorker:
+		return causeNewKey
+	case q.workerQueue > 0:
 		return causeQueued
 	}
 	return causeSlow
 }
 
-// busyReason tells a refusal that could have been avoided from one that could
-// not.
-func busyReason(refusal placement.Refusal, elsewhere bool) string {
-	if refusal == placement.RefusalBusy && elsewhere {
-		return reasonBusyRoom
+// busyReason returns the reason of a refusal. It distinguishes a busy region from one
+// where another worker had a free slot.
+func busyReason(refusal placement.Refusal, capacityElsewhere bool) string {
+	if refusal == placement.RefusalBusy && capacityElsewhere {
+		return reasonBusyCapacityElsewhere
 	}
 	return string(refusal)
 }
--- a/transport/ingress/losses_test.go
+++ b/transport/ingress/losses_test.go
@@ -13,8 +13,7 @@
 	"time"
 )
 
-// Every request that was late, refused or failed is counted once, under the
-// cause that an operator can do something about.
+// Guards against losses that are not counted or counted under a wrong cause.
 func TestLossesByCause(t *testing.T) {
 	const beyond = 2 * keyedObjective
 	inTime := func(http.ResponseWriter) {}
@@ -26,16 +25,16 @@
 	cases := map[string]struct {
 		workers  int
 		requests int
-		// answers are what workers do with one arrival after the other.
+		// answers are the responses of the workers to successive requests.
 		answers []func(w http.ResponseWriter)
 		waiting string
 		want    map[string]int
 	}{
-		"in time":                          {1, 1, []func(http.ResponseWriter){inTime}, "0", map[string]int{}},
-		"a key that is new to its worker":  {1, 1, []func(http.ResponseWriter){late}, "0", map[string]int{"s: late: key new to the worker": 1}},
-		"a slow worker that knows the key": {1, 2, []func(http.ResponseWriter){inTime, late}, "0", map[string]int{"s: late: slow": 1}},
-		"others that wait":                 {1, 2, []func(http.ResponseWriter){inTime, late}, "3", map[string]int{"s: late: others waited at the worker": 1}},
-		"another try":                      {2, 1, []func(http.ResponseWriter){refuse, late}, "0", map[string]int{"s: late: sent again": 1}},
+		"in time":                       {1, 1, []func(http.ResponseWriter){inTime}, "0", map[string]int{}},
+		"key new to the worker":         {1, 1, []func(http.ResponseWriter){late}, "0", map[string]int{"s: late: key new to the worker": 1}},
+		"slow worker":                   {1, 2, []func(http.ResponseWriter){inTime, late}, "0", map[string]int{"s: late: slow": 1}},
+		"requests queued at the worker": {1, 2, []func(http.ResponseWriter){inTime, late}, "3", map[string]int{"s: late: others waited at the worker": 1}},
+		"retry":                         {2, 1, []func(http.ResponseWriter){refuse, late}, "0", map[string]int{"s: late: sent again": 1}},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -45,35 +44,34 @@
 				c.answers[min(int(arrivals.Add(1)), len(c.answers))-1](w)
 			})
 			for i := range c.requests {
-				f.ask(http.MethodPost, "/keyed/", strconv.Itoa(i), "", "Key", "k")
+				f.send(http.MethodPost, "/keyed/", strconv.Itoa(i), "", "Key", "k")
 			}
-			if got := f.handler.TakeLosses(); !maps.Equal(got, c.want) {
+			if got := f.handler.CollectLosses(); !maps.Equal(got, c.want) {
 				t.Errorf("lost %v, want %v", got, c.want)
 			}
 		})
 	}
 }
 
-// A refusal while all workers are full is told from one while another worker has
-// a free slot.
-func TestRefusalsWithRoomElsewhere(t *testing.T) {
+// Guards against confusing a full region with one where another worker has a free slot.
+func TestBusyWithCapacityElsewhere(t *testing.T) {
 	const slots = 4
 	cases := map[string]struct {
-		others int // requests at each worker but the holder
-		want   map[string]int
+		inProgress int // requests in progress at each other worker
+		want       map[string]int
 	}{
-		"full":           {2 * slots, map[string]int{"s: busy": 1}},
-		"room elsewhere": {slots / 2, map[string]int{"s: busy-room-elsewhere": 1}},
+		"full":               {2 * slots, map[string]int{"s: busy": 1}},
+		"capacity elsewhere": {slots / 2, map[string]int{"s: busy-room-elsewhere": 1}},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
 			const workers = 5
-			f := newFixture(t, workers, ok)
-			f.ask(http.MethodPost, "/keyed/", "1", "", "Key", "k")
-			f.handler.TakeLosses()
+			f := newFixture(t, workers, echoRequest)
+			f.send(http.MethodPost, "/keyed/", "1", "", "Key", "k")
+			f.handler.CollectLosses()
 			holder := f.ran("1")[0]
 			for i := range workers {
-				id, requests := fmt.Sprintf("w%d", i), c.others
+				id, requests := fmt.Sprintf("w%d", i), c.inProgress
 				if id == holder {
 					requests = 2 * slots
 				}
@@ -81,10 +79,10 @@
 					f.loads.Of(id).Begin()
 				}
 			}
-			if r := f.ask(http.MethodPost, "/keyed/", "2", "", "Key", "k"); r.status != http.StatusServiceUnavailable {
+			if r := f.send(http.MethodPost, "/keyed/", "2", "", "Key", "k"); r.status != http.StatusServiceUnavailable {
 				t.Fatalf("status %d", r.status)
 			}
-			if got := f.handler.TakeLosses(); !maps.Equal(got, c.want) {
+			if got := f.handler.CollectLosses(); !maps.Equal(got, c.want) {
 				t.Errorf("lost %v, want %v", got, c.want)
 			}
 		})
--- a/transport/ingress/signals.go
+++ b/transport/ingress/signals.go
@@ -12,13 +12,13 @@
 	"github.com/ryehill/ryehill/state/worker"
 )
 
-// reasonSignal bounds the lines on what workers say of themselves.
+// reasonSignal is the reason under which log lines on worker signals are limited.
 const reasonSignal = "signal"
 
-// hear takes in what a worker says of itself in the head of an answer, whatever the
-// answer is and whether or not its body comes through. It returns how many requests
-// wait at the worker.
-func (q *request) hear(c placement.Choice, status int, header http.Header) (waiting int) {
+// readSignals applies the signals of a worker in a response header, whatever the status
+// is and whether or not the body arrives. It returns how many requests are queued at the
+// worker.
+func (q *request) readSignals(c placement.Choice, status int, header http.Header) (waiting int) {
 	cfg := &q.handler.cfg
 	if running, queued, ok := cfg.Dialect.Load(header); ok {
 		c.Load().Told(running, queued)
@@ -26,60 +26,60 @@
 	}
 	if cfg.Dialect.Leaving(header) {
 		now := cfg.Now()
-		q.hearSignal(c, worker.Leaving{Ending: worker.Ending{Heard: now, Until: now.Add(cfg.LeaveWithin)}, From: worker.FromAnswer})
+		q.applySignal(c, worker.Leaving{Ending: worker.Ending{Heard: now, Until: now.Add(cfg.LeaveWithin)}, From: worker.FromAnswer})
 	}
 	if rest, asked := cfg.Dialect.Rest(status, header); asked {
-		q.hearSignal(c, worker.Rest{For: rest})
+		q.applySignal(c, worker.Rest{For: rest})
 	}
-	q.hearLimit(c, status, header)
+	q.readRateLimit(c, status, header)
 	return waiting
 }
 
-// hearLimit takes in the limit that a worker names in an answer, or that it names none.
-// That counts in a success alone: a refusal or a failure may lack what others say.
-func (q *request) hearLimit(c placement.Choice, status int, header http.Header) {
+// readRateLimit applies the rate limit that a response declares. A missing limit ends an
+// earlier one only in a successful response, since errors may omit the header.
+func (q *request) readRateLimit(c placement.Choice, status int, header http.Header) {
 	cfg := &q.handler.cfg
 	perS, err := cfg.Dialect.RateLimit(header)
-	limit := worker.RateLimit{PerS: perS, Sent: q.sent, Heard: cfg.Now(), From: worker.FromAnswer}
+	limit := worker.RateLimit{PerS: perS, Sent: q.sentAt, Heard: cfg.Now(), From: worker.FromAnswer}
 	switch {
 	case err != nil:
-		q.note("signal", c.Worker().ID+" names a limit that cannot be read: "+err.Error())
+		q.addInput("signal", c.Worker().ID+" names a limit that cannot be read: "+err.Error())
 	case limit.Named() || status < http.StatusMultipleChoices:
-		q.hearSignal(c, limit)
+		q.applySignal(c, limit)
 	}
 }
 
-// hearSignal takes in one signal, notes it of the request and, if it is the first of
-// its kind that holds, logs it.
-func (q *request) hearSignal(c placement.Choice, signal worker.Signal) {
+// applySignal applies a signal to the worker's state and adds it to the decision record.
+// It logs the signal if it is the first of its kind.
+func (q *request) applySignal(c placement.Choice, signal worker.Signal) {
 	w, first := c.Worker(), c.Load().Hear(signal)
 	metrics := q.handler.cfg.Metrics
 	switch s := signal.(type) {
 	case worker.Leaving:
-		q.note("signal", w.ID+" says that it leaves")
+		q.addInput("signal", w.ID+" says that it leaves")
 		if first {
 			metrics.SaidLeaving(w.Service)
 			q.logSignal("workers: one says that it leaves", w, "leaving_in_store", w.Leaving, "gets_requests_for_ms", s.Until.Sub(s.Heard).Milliseconds())
 		}
 	case worker.Rest:
-		q.note("signal", fmt.Sprintf("%s asks for %s of rest", w.ID, s.For.Round(time.Millisecond)))
+		q.addInput("signal", fmt.Sprintf("%s asks for %s of rest", w.ID, s.For.Round(time.Millisecond)))
 		metrics.AskedForRest(w.Service)
 		if first {
 			q.logSignal("workers: one asks for rest", w, "for_ms", s.For.Milliseconds())
 		}
 	case worker.RateLimit:
 		if s.Named() {
-			q.note("signal", fmt.Sprintf("%s takes %.1f a second from all VMs", w.ID, s.PerS))
+			q.addInput("signal", fmt.Sprintf("%s takes %.1f a second from all VMs", w.ID, s.PerS))
 			metrics.NamedLimit(w.Service)
 		}
 		if first {
-			q.logLimit(w, s)
+			q.logRateLimit(w, s)
 		}
 	}
 }
 
-// logLimit writes that a worker begins or ceases to name a limit, or names another one.
-func (q *request) logLimit(w worker.Worker, r worker.RateLimit) {
+// logRateLimit logs that the rate limit declared by a worker was set, changed or removed.
+func (q *request) logRateLimit(w worker.Worker, r worker.RateLimit) {
 	if r.Named() {
 		q.logSignal("workers: one takes a limited rate from all VMs", w, "per_s", r.PerS)
 		return
@@ -87,16 +87,16 @@
 	q.logSignal("workers: one no longer names a limit", w)
 }
 
-// logSignal writes a bounded number of lines on signals.
+// logSignal logs a line on a signal, unless too many were logged.
 func (q *request) logSignal(message string, w worker.Worker, values ...any) {
-	leftOut, ok := q.handler.lines.allow(reasonSignal)
+	suppressed, ok := q.handler.logLimiter.allow(reasonSignal)
 	if !ok {
 		q.handler.cfg.Metrics.LogLeftOut(reasonSignal)
 		return
 	}
 	values = append([]any{"worker", w.ID, "service", w.Service, "hall", w.Hall, "request", q.id}, values...)
-	if leftOut > 0 {
-		values = append(values, "left_out_before", leftOut)
+	if suppressed > 0 {
+		values = append(values, "left_out_before", suppressed)
 	}
 	q.handler.cfg.Log.Info(message, values...)
 }
--- a/transport/ingress/signals_test.go
+++ b/transport/ingress/signals_test.go
@@ -16,110 +16,110 @@
 	"github.com/ryehill/ryehill/state/worker"
 )
 
-// What a worker says of itself is heard in any answer of its own, and in none of another
-// worker's.
-func TestSignalsAreHeardEverywhere(t *testing.T) {
-	leaving := func(w http.ResponseWriter) { w.Header().Set("Leaving", "1") }
+// Guards against missing a leaving signal, or taking it from a response of another worker.
+func TestLeavingSignal(t *testing.T) {
+	setLeaving := func(w http.ResponseWriter) { w.Header().Set("Leaving", "1") }
 	cases := map[string]struct {
-		path   string
-		answer func(w http.ResponseWriter, r *http.Request)
-		heard  bool
+		path    string
+		answer  func(w http.ResponseWriter, r *http.Request)
+		leaving bool
 	}{
-		"success": {"/read/a", func(w http.ResponseWriter, _ *http.Request) { leaving(w); fmt.Fprint(w, "ok") }, true},
+		"success": {"/read/a", func(w http.ResponseWriter, _ *http.Request) { setLeaving(w); fmt.Fprint(w, "ok") }, true},
 		"failure": {"/pay/a", func(w http.ResponseWriter, _ *http.Request) {
-			leaving(w)
+			setLeaving(w)
 			w.WriteHeader(http.StatusInternalServerError)
 		}, true},
 		"refusal": {"/read/a", func(w http.ResponseWriter, _ *http.Request) {
-			leaving(w)
+			setLeaving(w)
 			w.Header().Set("Not-Run", "1")
 			w.WriteHeader(http.StatusServiceUnavailable)
 		}, true},
-		"a body that breaks off": {"/pay/a", func(w http.ResponseWriter, _ *http.Request) {
-			leaving(w)
+		"truncated body": {"/pay/a", func(w http.ResponseWriter, _ *http.Request) {
+			setLeaving(w)
 			w.Header().Set("Content-Length", "1000")
 			_, _ = io.WriteString(w, "half")
 			w.(http.Flusher).Flush()
 			panic(http.ErrAbortHandler)
 		}, true},
-		"another worker's": {"/read/a", func(w http.ResponseWriter, _ *http.Request) { leaving(w); w.WriteHeader(http.StatusMisdirectedRequest) }, false},
-		"another request's": {"/pay/a", func(w http.ResponseWriter, _ *http.Request) {
-			leaving(w)
+		"response of another worker": {"/read/a", func(w http.ResponseWriter, _ *http.Request) {
+			setLeaving(w)
+			w.WriteHeader(http.StatusMisdirectedRequest)
+		}, false},
+		"response to another request": {"/pay/a", func(w http.ResponseWriter, _ *http.Request) {
+			setLeaving(w)
 			w.Header().Set("Id", "x")
 			fmt.Fprint(w, "ok")
 		}, false},
-		"none":                    {"/read/a", func(w http.ResponseWriter, _ *http.Request) { fmt.Fprint(w, "ok") }, false},
-		"a head, no more of it":   {"/pay/a", func(w http.ResponseWriter, _ *http.Request) { leaving(w); hang(w) }, true},
-		"before the body is read": {"/pay/a", func(w http.ResponseWriter, _ *http.Request) { leaving(w); fmt.Fprint(w, "early") }, true},
+		"no signal":                        {"/read/a", func(w http.ResponseWriter, _ *http.Request) { fmt.Fprint(w, "ok") }, false},
+		"header without a body":            {"/pay/a", func(w http.ResponseWriter, _ *http.Request) { setLeaving(w); sendHeaderAndHang(w) }, true},
+		"response before the body is read": {"/pay/a", func(w http.ResponseWriter, _ *http.Request) { setLeaving(w); fmt.Fprint(w, "early") }, true},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
 			f := newFixture(t, 1, func(_ int, w http.ResponseWriter, r *http.Request) { c.answer(w, r) })
-			f.ask(http.MethodPost, c.path, "1", "body", "Wait", "400")
-			_, heard := f.loads.Leaving(&worker.Worker{ID: "w0"})
-			if heard != c.heard {
-				t.Errorf("heard: %t, want %t", heard, c.heard)
+			f.send(http.MethodPost, c.path, "1", "body", "Wait", "400")
+			_, got := f.loads.Leaving(&worker.Worker{ID: "w0"})
+			if got != c.leaving {
+				t.Errorf("leaving: %t, want %t", got, c.leaving)
 			}
 		})
 	}
 }
 
-// hang sends a head and then nothing until the client is gone for sure.
-func hang(w http.ResponseWriter) {
+// sendHeaderAndHang sends a response header and then nothing until the client has timed out.
+func sendHeaderAndHang(w http.ResponseWriter) {
 	w.Header().Set("Content-Length", "10")
 	w.(http.Flusher).Flush()
 	time.Sleep(600 * time.Millisecond)
 }
 
-// A second try does not go to a worker that has just asked for rest, and a request that
-// finds all at rest is refused at once, with the time after which one is awake; it reaches
-// no worker.
-func TestRequestsOfWorkersAtRest(t *testing.T) {
+// Guards against sending requests to workers that asked for a pause, and refusals without the wait.
+func TestBackoffSignal(t *testing.T) {
 	f := newFixture(t, 2, func(_ int, w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("Not-Run", "1")
 		w.Header().Set("Rest", "2s")
 		w.WriteHeader(http.StatusServiceUnavailable)
 	})
-	first := f.ask(http.MethodGet, "/read/a", "1", "", "Wait", "3000")
+	first := f.send(http.MethodGet, "/read/a", "1", "", "Wait", "3000")
 	if tried := f.ran("1"); first.status != http.StatusServiceUnavailable || len(tried) != 2 || tried[0] == tried[1] {
 		t.Fatalf("status %d after %v", first.status, tried)
 	}
-	second := f.ask(http.MethodGet, "/read/a", "2", "", "Wait", "3000")
+	second := f.send(http.MethodGet, "/read/a", "2", "", "Wait", "3000")
 	after, err := strconv.ParseFloat(second.header.Get("Retry-After"), 64)
 	if second.status != http.StatusServiceUnavailable || err != nil || after < 1.5 || after > 3 || second.took > 200*time.Millisecond {
-		t.Errorf("status %d within %s, to come back after %f s %v", second.status, second.took, after, err)
+		t.Errorf("status %d after %s, Retry-After %f s (%v)", second.status, second.took, after, err)
 	}
 	if tried := f.ran("2"); len(tried) != 0 {
-		t.Errorf("it reached %v", tried)
+		t.Errorf("the request was sent to %v", tried)
 	}
 	record, ok := f.decisions.Find("2")
 	if text := fmt.Sprint(record); !ok || record.Rule != "resting" || !strings.Contains(text, "rests by its answer") {
-		t.Errorf("its record does not say why: %s", text)
+		t.Errorf("the decision record lacks the reason: %s", text)
 	}
 }
 
-func (plain) RateLimit(h http.Header) (float64, error) {
+func (plainDialect) RateLimit(h http.Header) (float64, error) {
 	if h.Get("Limit") == "" {
 		return math.Inf(1), nil
 	}
 	return strconv.ParseFloat(h.Get("Limit"), 64)
 }
 
-// A failure or refusal without a limit must not end one.
-func TestLimitsAreHeard(t *testing.T) {
+// Guards against ending a rate limit because an error response omits it.
+func TestRateLimitSignal(t *testing.T) {
 	const named = 3.0
 	cases := map[string]struct {
 		answers []func(w http.ResponseWriter)
 		limited bool
 	}{
-		"success":                   {[]func(http.ResponseWriter){limited("3", 200)}, true},
-		"failure":                   {[]func(http.ResponseWriter){limited("3", 500)}, true},
-		"refusal":                   {[]func(http.ResponseWriter){limited("3", 503)}, true},
-		"another worker's":          {[]func(http.ResponseWriter){limited("3", http.StatusMisdirectedRequest)}, false},
-		"then a success without it": {[]func(http.ResponseWriter){limited("3", 200), limited("", 200)}, false},
-		"then a failure without it": {[]func(http.ResponseWriter){limited("3", 200), limited("", 500)}, true},
-		"then a refusal without it": {[]func(http.ResponseWriter){limited("3", 200), limited("", 503)}, true},
-		"then one that is garbled":  {[]func(http.ResponseWriter){limited("3", 200), limited("few", 200)}, true},
+		"success":                        {[]func(http.ResponseWriter){respondWithLimit("3", 200)}, true},
+		"failure":                        {[]func(http.ResponseWriter){respondWithLimit("3", 500)}, true},
+		"refusal":                        {[]func(http.ResponseWriter){respondWithLimit("3", 503)}, true},
+		"response of another worker":     {[]func(http.ResponseWriter){respondWithLimit("3", http.StatusMisdirectedRequest)}, false},
+		"then a success without a limit": {[]func(http.ResponseWriter){respondWithLimit("3", 200), respondWithLimit("", 200)}, false},
+		"then a failure without a limit": {[]func(http.ResponseWriter){respondWithLimit("3", 200), respondWithLimit("", 500)}, true},
+		"then a refusal without a limit": {[]func(http.ResponseWriter){respondWithLimit("3", 200), respondWithLimit("", 503)}, true},
+		"then a malformed limit":         {[]func(http.ResponseWriter){respondWithLimit("3", 200), respondWithLimit("few", 200)}, true},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -128,7 +128,7 @@
 				c.answers[next](w)
 			})
 			for next = range c.answers {
-				f.ask(http.MethodPost, "/pay/a", strconv.Itoa(next), "body", "Wait", "400")
+				f.send(http.MethodPost, "/pay/a", strconv.Itoa(next), "body", "Wait", "400")
 			}
 			last := f.loads.Of("w0").RateLimit()
 			if last.Named() != c.limited || c.limited && last.PerS != named {
@@ -138,8 +138,8 @@
 	}
 }
 
-// limited answers with a status, and with a limit if there is one.
-func limited(limit string, status int) func(http.ResponseWriter) {
+// respondWithLimit responds with a status and, unless it is empty, a rate limit.
+func respondWithLimit(limit string, status int) func(http.ResponseWriter) {
 	return func(w http.ResponseWriter) {
 		if limit != "" {
 			w.Header().Set("Limit", limit)
--- a/transport/ingress/start_test.go
+++ b/transport/ingress/start_test.go
@@ -13,50 +13,48 @@
 	"github.com/ryehill/ryehill/state/worker"
 )
 
-// A request that reaches a VM in the moment before it knows anything is served.
-func TestStartingVMWaitsAMoment(t *testing.T) {
-	f := newFixture(t, 1, ok)
+// Guards against refusing requests that arrive just before a starting VM has its first snapshot.
+func TestStartupWait(t *testing.T) {
+	f := newFixture(t, 1, echoRequest)
 	known := f.snapshot
 	f.setSnapshot(nil)
 	time.AfterFunc(50*time.Millisecond, func() { f.setSnapshot(known) })
-	if r := f.ask(http.MethodPost, "/pay/", "1", ""); r.status != http.StatusOK {
+	if r := f.send(http.MethodPost, "/pay/", "1", ""); r.status != http.StatusOK {
 		t.Errorf("status %d after %s", r.status, r.took)
 	}
 	f.setSnapshot(nil)
-	if r := f.ask(http.MethodPost, "/pay/", "2", ""); r.status != http.StatusServiceUnavailable || r.took > 400*time.Millisecond {
+	if r := f.send(http.MethodPost, "/pay/", "2", ""); r.status != http.StatusServiceUnavailable || r.took > 400*time.Millisecond {
 		t.Errorf("status %d after %s, want 503 soon", r.status, r.took)
 	}
 }
 
-// How long a request waits for a VM that knows nothing yet is a small part of its
-// client's patience.
-func TestWaitAtAStartingVM(t *testing.T) {
+// Guards against waiting too long for the first snapshot.
+func TestStartupWaitBounds(t *testing.T) {
 	cases := map[string]struct {
-		patience    string
-		least, most time.Duration
+		clientTimeout    string
+		minWait, maxWait time.Duration
 	}{
-		"a client in a hurry": {"500", 100 * time.Millisecond, 300 * time.Millisecond},
-		"a patient one":       {"12000", 480 * time.Millisecond, 900 * time.Millisecond},
-		"one without end":     {"600000", 580 * time.Millisecond, time.Second},
+		"short client timeout":  {"500", 100 * time.Millisecond, 300 * time.Millisecond},
+		"medium client timeout": {"12000", 480 * time.Millisecond, 900 * time.Millisecond},
+		"long client timeout":   {"600000", 580 * time.Millisecond, time.Second},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
-			f := newFixture(t, 1, ok)
+			f := newFixture(t, 1, echoRequest)
 			f.setSnapshot(nil)
-			r := f.ask(http.MethodPost, "/pay/", "1", "", "Wait", c.patience)
-			if r.status != http.StatusServiceUnavailable || r.took < c.least || r.took > c.most {
-				t.Errorf("status %d after %s, want 503 after %s to %s", r.status, r.took, c.least, c.most)
+			r := f.send(http.MethodPost, "/pay/", "1", "", "Wait", c.clientTimeout)
+			if r.status != http.StatusServiceUnavailable || r.took < c.minWait || r.took > c.maxWait {
+				t.Errorf("status %d after %s, want 503 after %s to %s", r.status, r.took, c.minWait, c.maxWait)
 			}
 		})
 	}
 }
 
-// Workers whose machines are gone get no request, so passing them over costs
-// neither the request's tries nor the budget.
-func TestUnreachableWorkersCostNoTry(t *testing.T) {
+// Guards against unreachable workers using up attempts or the retry budget.
+func TestUnreachableWorkersUseNoRetries(t *testing.T) {
 	const gone, rounds = 3, 12
 	for round := range rounds {
-		f := newFixture(t, 1, ok)
+		f := newFixture(t, 1, echoRequest)
 		workers := make([]worker.Worker, 0, gone+1)
 		for _, w := range f.snapshot.Workers.Service("s") {
 			workers = append(workers, *w)
@@ -70,12 +68,12 @@
 			_ = l.Close()
 		}
 		f.snapshot.Workers = worker.NewSet(workers)
-		if r := f.ask(http.MethodPost, "/pay/", fmt.Sprint(round), ""); r.status != http.StatusOK {
+		if r := f.send(http.MethodPost, "/pay/", fmt.Sprint(round), ""); r.status != http.StatusOK {
 			t.Fatalf("round %d: status %d", round, r.status)
 		}
 		for id, o := range f.loads.TakeOutcomes(gone) {
 			if o.Failed != 1 {
-				t.Errorf("%s: %+v, want one failure for other VMs to hear of", id, o)
+				t.Errorf("%s: %+v, want one failure", id, o)
 			}
 		}
 	}
--- a/transport/ingress/try.go
+++ b/transport/ingress/try.go
@@ -17,28 +17,28 @@
 	"github.com/ryehill/ryehill/transport/upstream"
 )
 
-// impatience is the part of the time left after which a request that may be
-// repeated is sent to another worker, if its own one has not answered.
-const impatience = 0.55
+// silenceFraction is the fraction of the remaining time after which a repeatable
+// request is sent to another worker, if the first one has not responded.
+const silenceFraction = 0.55
 
-// errImpatient ends a try whose worker has not answered for long.
-var errImpatient = errors.New("ingress: the worker has not answered for long")
+// errWorkerSilent cancels an attempt whose worker has not responded in time.
+var errWorkerSilent = errors.New("ingress: the worker has not answered for long")
 
-// failure is a try that brought no answer.
+// failure describes an attempt without a response.
 type failure struct {
 	cause  retry.Cause
 	notRun bool
-	// unsent is set if no byte reached the worker.
+	// unsent is set if no byte was sent to the worker.
 	unsent bool
-	// hungUp is set if the worker ended the connection before it answered.
-	hungUp bool
-	// clientLeft is set if the client had left before the try ended.
-	clientLeft bool
+	// peerClosed is set if the worker closed the connection before it responded.
+	peerClosed bool
+	// clientGone is set if the client had disconnected before the attempt ended.
+	clientGone bool
 	err        error
 }
 
-// run tries workers until one answers or no other try is allowed.
-func (q *request) run(ctx context.Context) {
+// sendWithRetries makes attempts until a worker responds or no retry is allowed.
+func (q *request) sendWithRetries(ctx context.Context) {
 	var next *placement.Choice
 	for number := 1; ; number++ {
 		if q.refuseQuarantined() {
@@ -50,44 +50,44 @@
 		s := q.handler.cfg.Snapshot()
 		if next == nil {
 			choice, refusal := q.place(s, number > 1)
-			q.noteChoice(number, choice, refusal)
+			q.recordChoice(number, choice, refusal)
 			if refusal != placement.RefusalNone {
-				q.meterRefusal(choice)
-				q.wait = choice.Wait()
-				q.refusePlacement(busyReason(refusal, q.handler.cfg.Placer.Room(s, q.placement())), number)
+				q.countRefusal(choice)
+				q.retryAfter = choice.Wait()
+				q.refusePlacement(busyReason(refusal, q.handler.cfg.Placer.Room(s, q.placementRequest())), number)
 				return
 			}
 			next = &choice
 		}
 		var failed *failure
 		current, begun := *next, q.handler.cfg.Now()
-		failed, next = q.try(ctx, s, current, number)
-		q.noteTry(number, current, begun, failed)
+		failed, next = q.attempt(ctx, s, current, number)
+		q.recordAttempt(number, current, begun, failed)
 		if failed == nil {
-			q.finish(reasonAnswered, q.status)
+			q.recordOutcome(reasonAnswered, q.status)
 			return
 		}
 		q.mayHaveRun = q.mayHaveRun || !failed.notRun
 		q.handler.cfg.Metrics.Tried(string(failed.cause))
 		if q.headSent {
-			q.abort(reasonBroken)
+			q.abort(reasonUpstreamBroken)
 			return
 		}
 		if next != nil {
-			continue // Decided while the worker was silent.
+			continue // The retry was decided when the silence timer fired.
 		}
-		verdict := q.decide(ctx, failed, number)
-		q.note("another try", string(verdict))
+		verdict := q.decideRetry(ctx, failed, number)
+		q.addInput("another try", string(verdict))
 		if !verdict.Again() {
-			q.fail(ctx, failed, verdict)
+			q.respondFailed(ctx, failed, verdict)
 			return
 		}
 	}
 }
 
-// meterRefusal counts a request that found no room at the hall whose worker
-// holds its key.
-func (q *request) meterRefusal(c placement.Choice) {
+// countRefusal counts a refused request in the hall of the worker that was considered
+// first.
+func (q *request) countRefusal(c placement.Choice) {
 	if considered := c.Considered(); len(considered) > 0 {
 		meter := q.handler.cfg.Meters.Of(considered[0].Hall)
 		meter.Begin(q.service)
@@ -95,83 +95,84 @@
 	}
 }
 
-func (q *request) placement() placement.Request {
+func (q *request) placementRequest() placement.Request {
 	return placement.Request{
 		Service: q.service, Key: q.key, Keyed: q.keyed,
 		Allows: q.allowsRegion, Tried: q.tried, Track: q.track, Priority: q.route.Priority,
 	}
 }
 
-func (q *request) decide(ctx context.Context, f *failure, number int) retry.Verdict {
+func (q *request) decideRetry(ctx context.Context, f *failure, number int) retry.Verdict {
 	verdict := q.handler.budget(q.service).Decide(retry.Try{
 		Number: number, MaxTries: q.route.MaxAttempts, Cause: f.cause, NotRun: f.notRun, Unsent: f.unsent,
-		Repeatable: q.route.Repeatable, BodyGone: q.body.gone, Expired: ctx.Err() != nil || q.left() <= 0, Suspect: q.suspect(f),
+		Repeatable: q.route.Repeatable, BodyGone: q.body.consumed, Expired: ctx.Err() != nil || q.remaining() <= 0, Suspect: q.suspected(f),
 	})
 	q.handler.cfg.Metrics.Retry(string(f.cause), string(verdict))
 	return verdict
 }
 
-// try sends the request to one worker and passes its answer on. After a failure
-// it may return the worker that is to be tried next.
-func (q *request) try(ctx context.Context, s *placement.Snapshot, c placement.Choice, number int) (*failure, *placement.Choice) {
+// attempt sends the request to one worker and forwards its response. After a failure
+// it may return the worker for the next attempt.
+func (q *request) attempt(ctx context.Context, s *placement.Snapshot, c placement.Choice, number int) (*failure, *placement.Choice) {
 	w := c.Worker()
 	q.tried = append(q.tried, w.ID)
-	q.newKey = q.keyed && !q.handler.losses.sent(w.Life(), q.key)
-	held := c.Load()
-	defer held.End()
+	q.keyNewToWorker = q.keyed && !q.handler.losses.markSent(w.Life(), q.key)
+	workerLoad := c.Load()
+	defer workerLoad.End()
 	meter := q.handler.cfg.Meters.Of(w.Hall)
 	meter.Begin(w.Service)
-	defer func() { meter.End(w.Service, load.Event{Moved: c.Moved(), Bytes: max(q.body.length, 0) + q.answered}) }()
+	defer func() {
+		meter.End(w.Service, load.Event{Moved: c.Moved(), Bytes: max(q.body.length, 0) + q.responseBytes})
+	}()
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
-	versioned := q.sentTo(c)
-	stopWaiting := q.grantPatience(ctx, cancel, number)
-	q.sent = q.handler.cfg.Now()
-	answer, err := q.handler.cfg.Upstreams.Do(ctx, q.target(s, c), q.outgoing(w.ID))
-	next := stopWaiting()
+	trackedAttempt := q.startRolloutAttempt(c)
+	stopTimer := q.startSilenceTimer(ctx, cancel, number)
+	q.sentAt = q.handler.cfg.Now()
+	res, err := q.handler.cfg.Upstreams.Do(ctx, q.target(s, c), q.upstreamRequest(w.ID))
+	next := stopTimer()
 	if err != nil {
-		failed := q.judge(c, err)
-		versioned.failed(failed)
+		failed := q.classifyFailure(c, err)
+		trackedAttempt.failed(failed)
 		return failed, next
 	}
 	if next != nil {
-		next.Load().End() // The answer came at the last moment.
+		next.Load().End() // The response arrived while the timer fired.
 	}
-	defer answer.Close()
-	q.waiting = q.hear(c, answer.Status(), answer.Header())
-	if answer.Renewed() {
-		held.Ended()
+	defer res.Close()
+	q.workerQueue = q.readSignals(c, res.Status(), res.Header())
+	if res.Renewed() {
+		workerLoad.Ended()
 	}
-	held.Proved(answer.Opened())
-	held.Outcome(failing(answer.Status()))
-	q.noteAnswer(answer.Status())
-	q.handler.cfg.Demand.Served(w.Service, q.since(q.sent))
-	if err := q.passOn(answer); err != nil {
-		held.Failed()
+	workerLoad.Proved(res.Opened())
+	workerLoad.Outcome(countsAgainstWorker(res.Status()))
+	q.reportAnswered(res.Status())
+	q.handler.cfg.Demand.Served(w.Service, q.elapsed(q.sentAt))
+	if err := q.forwardResponse(res); err != nil {
+		workerLoad.Failed()
 		failed := &failure{cause: retry.CauseBroken, err: err}
-		versioned.failed(failed)
+		trackedAttempt.failed(failed)
 		return failed, nil
 	}
-	versioned.answered(answer.Status())
-	held.Answered()
+	trackedAttempt.answered(res.Status())
+	workerLoad.Answered()
 	return nil, nil
 }
 
-// grantPatience gives up a try of a repeatable request when its worker has been
-// silent for long, another try is allowed, and another worker has room. A
-// stopping VM waits on: what its workers are at work on is not broken off. The
-// returned function ends the wait and returns the worker to be tried next, if
-// the try was given up.
-func (q *request) grantPatience(ctx context.Context, cancel context.CancelCauseFunc, number int) func() *placement.Choice {
-	if !q.route.Repeatable || number >= q.route.MaxAttempts || q.body.rest != nil {
+// startSilenceTimer cancels an attempt of a repeatable request if its worker has not
+// responded for long, a retry is allowed and another worker has capacity. A VM that is
+// stopping waits on, so that work in progress is not canceled. The returned function
+// stops the timer and returns the worker for the next attempt if this one was canceled.
+func (q *request) startSilenceTimer(ctx context.Context, cancel context.CancelCauseFunc, number int) func() *placement.Choice {
+	if !q.route.Repeatable || number >= q.route.MaxAttempts || q.body.remainder != nil {
 		return func() *placement.Choice { return nil }
 	}
 	var next *placement.Choice
 	done := make(chan struct{})
-	timer := time.AfterFunc(time.Duration(float64(q.left())*impatience), func() {
+	timer := time.AfterFunc(time.Duration(float64(q.remaining())*silenceFraction), func() {
 		defer close(done)
 		if next = q.nextWorker(ctx, number); next != nil {
-			cancel(errImpatient)
+			cancel(errWorkerSilent)
 		}
 	})
 	return func() *placement.Choice {
@@ -182,7 +183,7 @@
 	}
 }
 
-// nextWorker finds a worker for another try, if one is allowed.
+// nextWorker chooses a worker for another attempt, or returns nil if none is allowed.
 func (q *request) nextWorker(ctx context.Context, number int) *placement.Choice {
 	if q.handler.stopping.Load() {
 		return nil
@@ -191,8 +192,8 @@
 	if refusal != placement.RefusalNone {
 		return nil
 	}
-	if !q.decide(ctx, &failure{cause: retry.CauseBroken}, number).Again() {
-		q.withdraw()
+	if !q.decideRetry(ctx, &failure{cause: retry.CauseBroken}, number).Again() {
+		q.withdrawChoice()
 		choice.Load().End()
 		return nil
 	}
@@ -209,22 +210,22 @@
 	return upstream.Worker{ID: w.ID, Start: w.Start, Address: w.Address, Connections: connections}
 }
 
-func (q *request) outgoing(workerID string) *upstream.Request {
+func (q *request) upstreamRequest(workerID string) *upstream.Request {
 	header := q.in.Header.Clone()
 	stripHopByHop(header)
 	header.Del("Expect")
-	if q.hideKey {
+	if q.stripAPIKey {
 		q.handler.cfg.Dialect.SetWorkspace(header, q.workspace.Name())
 	}
-	q.handler.cfg.Dialect.Address(header, workerID, q.left())
+	q.handler.cfg.Dialect.Address(header, workerID, q.remaining())
 	return &upstream.Request{
 		Method: q.in.Method, Target: q.in.RequestURI, Host: q.in.Host, Header: header,
 		Body: q.body.reader(), Length: q.body.length, Once: !q.route.Repeatable,
 	}
 }
 
-// judge says what a failed send means and notes it of the worker.
-func (q *request) judge(c placement.Choice, err error) *failure {
+// classifyFailure classifies the error of an attempt and updates the worker's state.
+func (q *request) classifyFailure(c placement.Choice, err error) *failure {
 	f := &failure{cause: retry.CauseBroken, err: err}
 	var failed *upstream.Error
 	if !errors.As(err, &failed) {
@@ -232,11 +233,11 @@
 	}
 	f.notRun = failed.NotRun()
 	f.unsent = failed.Kind() == upstream.KindUnreachable || failed.Kind() == upstream.KindBusy
-	if failed.Kind() != upstream.KindOther { // Else another worker says it of itself.
-		q.hear(c, failed.Status(), failed.Header())
+	if failed.Kind() != upstream.KindOther { // The header of KindWrongWorker is from a different worker.
+		q.readSignals(c, failed.Status(), failed.Header())
 	}
-	left := q.in.Context().Err() != nil
-	f.clientLeft = left
+	clientGone := q.in.Context().Err() != nil
+	f.clientGone = clientGone
 	switch failed.Kind() {
 	case upstream.KindShed, upstream.KindBusy:
 		f.cause = retry.CauseShed
@@ -245,7 +246,7 @@
 		c.Load().Failed()
 	case upstream.KindUnreachable:
 		f.cause = retry.CauseUnreachable
-		if !left {
+		if !clientGone {
 			c.Load().Failed()
 			c.Load().Outcome(true)
 		}
@@ -256,33 +257,33 @@
 		f.cause = retry.CauseUnreachable
 		c.Load().Gone()
 	case upstream.KindBroken:
-		if !left {
+		if !clientGone {
 			c.Load().Failed()
-			c.Load().Outcome(!ranOut(err))
+			c.Load().Outcome(!timedOut(err))
 		}
-		if !left && failed.HungUp() {
-			f.hungUp = true
+		if !clientGone && failed.HungUp() {
+			f.peerClosed = true
 			c.Load().HungUp()
-			q.noteHangUp(c)
+			q.reportHangUp(c)
 		}
 	case upstream.KindBody:
 	}
 	return f
 }
 
-// failing reports whether a status speaks against the worker that answers with
-// it. A gateway timeout does not: the time was over, as it is at any worker while
-// there is more work than slots, and to spare one would press the others.
-func failing(status int) bool {
+// countsAgainstWorker reports whether a response status counts as a failure of the worker.
+// A gateway timeout does not: under overload requests time out at every worker, and
+// avoiding one would put more load on the others.
+func countsAgainstWorker(status int) bool {
 	return status >= http.StatusInternalServerError && status != http.StatusGatewayTimeout
 }
 
-// ranOut reports whether a try ended because its time was over.
-func ranOut(err error) bool {
+// timedOut reports whether an attempt ended by a timeout or cancellation.
+func timedOut(err error) bool {
 	return errors.Is(err, context.DeadlineExceeded) || errors.Is(err, context.Canceled)
 }
 
-// stripHopByHop removes the headers that concern one connection only.
+// stripHopByHop removes the hop-by-hop headers and Content-Length.
 func stripHopByHop(h http.Header) {
 	for _, value := range h.Values("Connection") {
 		for _, name := range splitList(value) {
--- a/transport/ingress/versions.go
+++ b/transport/ingress/versions.go
@@ -10,25 +10,25 @@
 	"github.com/ryehill/ryehill/state/worker"
 )
 
-// Rollouts knows the services of which a new version is being brought in. It is used by
-// several goroutines.
+// Rollouts provides the services that have a rollout of a new version in progress. It
+// must be safe for concurrent use.
 type Rollouts interface {
-	// Share returns this VM's part in that, nil for a service with one version.
+	// Share returns this VM's share of the rollout, or nil if there is none.
 	Share(service string) *rollout.Share
 }
 
-// noRollouts is the Rollouts of a Handler without one.
+// noRollouts is the default Rollouts of a Handler.
 type noRollouts struct{}
 
 func (noRollouts) Share(string) *rollout.Share { return nil }
 
-// place chooses a worker for the next try. A new version that has no room for what it was
-// to get leaves it to the old one, as long as that serves.
-func (q *request) place(s *placement.Snapshot, again bool) (placement.Choice, placement.Refusal) {
+// place chooses a worker for the next attempt. If the new version has no capacity, it
+// falls back to the stable version, if the rollout allows that.
+func (q *request) place(s *placement.Snapshot, retrying bool) (placement.Choice, placement.Refusal) {
 	if q.share != nil {
-		q.track = q.share.Choose(q.route.Name, q.key, again)
+		q.track = q.share.Choose(q.route.Name, q.key, retrying)
 	}
-	choice, refusal := q.handler.cfg.Placer.Place(s, q.placement())
+	choice, refusal := q.handler.cfg.Placer.Place(s, q.placementRequest())
 	if refusal == placement.RefusalNone || q.track == worker.TrackStable {
 		return choice, refusal
 	}
@@ -36,50 +36,49 @@
 		return choice, refusal
 	}
 	q.track = worker.TrackStable
-	return q.handler.cfg.Placer.Place(s, q.placement())
+	return q.handler.cfg.Placer.Place(s, q.placementRequest())
 }
 
-// withdraw takes back a choice that is not used.
-func (q *request) withdraw() {
+// withdrawChoice returns an unused choice of the new version to the rollout.
+func (q *request) withdrawChoice() {
 	if q.track != worker.TrackStable {
 		q.share.Withdraw()
 	}
 }
 
-// versionedTry counts a try for the comparison of two versions.
-type versionedTry struct {
-	try *rollout.Try
+// rolloutAttempt counts an attempt for the comparison of the two versions.
+type rolloutAttempt struct {
+	rolloutTry *rollout.Try
 	// cold is set if the worker has just started, which makes any version slow.
 	cold bool
 }
 
-// sentTo notes that a request is sent to a worker. The result may be used where no new
-// version is being brought in.
-func (q *request) sentTo(c placement.Choice) versionedTry {
+// startRolloutAttempt counts the start of an attempt at a worker. The result does
+// nothing if no rollout is in progress.
+func (q *request) startRolloutAttempt(c placement.Choice) rolloutAttempt {
 	if q.share == nil {
-		return versionedTry{}
+		return rolloutAttempt{}
 	}
 	w, considered := c.Worker(), c.Considered()
 	cold := len(considered) > 0 && considered[len(considered)-1].Cold
-	return versionedTry{try: q.share.Sent(q.track, q.route.Name, w.Life(), q.key), cold: cold}
+	return rolloutAttempt{rolloutTry: q.share.Sent(q.track, q.route.Name, w.Life(), q.key), cold: cold}
 }
 
-// answered notes the status of a whole answer.
-func (t versionedTry) answered(status int) {
-	if t.try == nil {
+// answered counts a complete response.
+func (t rolloutAttempt) answered(status int) {
+	if t.rolloutTry == nil {
 		return
 	}
-	failed := failing(status)
-	t.try.Ended(failed || !t.cold, failed)
+	failed := countsAgainstWorker(status)
+	t.rolloutTry.Ended(failed || !t.cold, failed)
 }
 
-// failed notes a try that brought no answer. Only what the worker may have done wrong
-// itself counts: time that ran out as slowness, other ends of a request under way as
-// failures.
-func (t versionedTry) failed(f *failure) {
-	if t.try == nil {
+// failed counts an attempt without a response. Only what the worker may be to blame
+// for counts: timeouts as slow responses, other interrupted requests as failures.
+func (t rolloutAttempt) failed(f *failure) {
+	if t.rolloutTry == nil {
 		return
 	}
-	counts := f.cause == retry.CauseBroken && !f.notRun && !f.clientLeft
-	t.try.Ended(counts, !ranOut(f.err))
+	counts := f.cause == retry.CauseBroken && !f.notRun && !f.clientGone
+	t.rolloutTry.Ended(counts, !timedOut(f.err))
 }
