--- a/transport/ingress/answer.go
+++ b/transport/ingress/answer.go
@@ -55,7 +55,7 @@
 		return err
 	}
 	complete := n < maxBufferedResponse
-	header := q.out.Header()
+	header := q.writer.Header()
 	for name, values := range res.Header() {
 		header[name] = values
 	}
@@ -72,17 +72,17 @@
 	switch {
 	case res.Length() >= 0:
 		header.Set("Content-Length", strconv.FormatInt(res.Length(), 10))
-	case complete && q.in.Method != http.MethodHead && bodyAllowed(res.Status()):
+	case complete && q.req.Method != http.MethodHead && bodyAllowed(res.Status()):
 		header.Set("Content-Length", strconv.FormatInt(n, 10))
 	}
 	q.headSent, q.status = true, res.Status()
-	q.out.WriteHeader(res.Status())
-	if _, err := q.out.Write(buffered.Bytes()); err != nil && !errors.Is(err, http.ErrBodyNotAllowed) {
+	q.writer.WriteHeader(res.Status())
+	if _, err := q.writer.Write(buffered.Bytes()); err != nil && !errors.Is(err, http.ErrBodyNotAllowed) {
 		return nil //nolint:nilerr // The client has disconnected, which is no failure of the worker.
 	}
 	q.responseBytes = n
 	if !complete {
-		rest, err := io.Copy(q.out, res.Body())
+		rest, err := io.Copy(q.writer, res.Body())
 		q.responseBytes += rest
 		if err != nil {
 			return err
@@ -101,12 +101,12 @@
 	q.handler.cfg.Metrics.Refused(reason)
 	q.recordOutcome(reason, http.StatusServiceUnavailable)
 	after := max(minRetryAfter, q.retryAfter) + rand.N(retryAfterJitter)
-	q.out.Header().Set("Retry-After", strconv.FormatFloat(after.Seconds(), 'f', 3, 64))
+	q.writer.Header().Set("Retry-After", strconv.FormatFloat(after.Seconds(), 'f', 3, 64))
 	q.writeStatus(http.StatusServiceUnavailable)
 }
 
-func (q *request) refusePlacement(reason string, number int) {
-	if number > 1 {
+func (q *request) refusePlacement(reason string, attemptNumber int) {
+	if attemptNumber > 1 {
 		reason += "-after-try"
 	}
 	if q.mayHaveRun {
@@ -124,14 +124,14 @@
 }
 
 func (q *request) writeStatus(status int) {
-	q.out.Header().Set("Content-Length", "0")
-	q.out.WriteHeader(status)
+	q.writer.Header().Set("Content-Length", "0")
+	q.writer.WriteHeader(status)
 }
 
 // respondFailed responds to a request whose last attempt failed.
 func (q *request) respondFailed(ctx context.Context, f *failure, verdict retry.Verdict) {
 	switch {
-	case q.in.Context().Err() != nil:
+	case q.req.Context().Err() != nil:
 		q.abort(reasonClientClosed)
 	case !q.mayHaveRun:
 		q.refuse(string(f.cause) + "-" + string(verdict))
--- a/transport/ingress/explain.go
+++ b/transport/ingress/explain.go
@@ -55,7 +55,7 @@
 }
 
 // recordChoice records which workers were considered for an attempt.
-func (q *request) recordChoice(number int, c placement.Choice, refusal placement.Refusal) {
+func (q *request) recordChoice(attemptNumber int, c placement.Choice, refusal placement.Refusal) {
 	considered := make([]string, 0, len(c.Considered()))
 	for _, w := range c.Considered() {
 		considered = append(considered, w.String())
@@ -64,7 +64,7 @@
 	if refusal != placement.RefusalNone {
 		text = string(refusal) + ": " + text
 	}
-	q.addInput(fmt.Sprintf("choice %d", number), text)
+	q.addInput(fmt.Sprintf("choice %d", attemptNumber), text)
 	if c.Steered() != "" {
 		q.addInput("steered", c.Steered())
 	}
@@ -74,7 +74,7 @@
 }
 
 // recordAttempt records the outcome of an attempt.
-func (q *request) recordAttempt(number int, c placement.Choice, begun time.Time, f *failure) {
+func (q *request) recordAttempt(attemptNumber int, c placement.Choice, started time.Time, f *failure) {
 	text := "answered"
 	if f != nil {
 		text = string(f.cause)
@@ -87,8 +87,8 @@
 			text += ": " + f.err.Error()
 		}
 	}
-	took := q.elapsed(begun).Milliseconds()
-	q.addInput(fmt.Sprintf("try %d", number), fmt.Sprintf("%s at %s after %d ms", text, c.Worker().ID, took))
+	took := q.elapsed(started).Milliseconds()
+	q.addInput(fmt.Sprintf("try %d", attemptNumber), fmt.Sprintf("%s at %s after %d ms", text, c.Worker().ID, took))
 }
 
 // recordOutcome stores the decision record of a finished request, and logs it if
@@ -143,16 +143,16 @@
 func (l *logLimiter) allow(reason string) (suppressed int, ok bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	m, known := l.byReason[reason]
+	limiter, known := l.byReason[reason]
 	if !known {
-		m = &reasonLimiter{limiter: rate.NewLimiter(logLinesPerSecond, logBurst)}
-		l.byReason[reason] = m
+		limiter = &reasonLimiter{limiter: rate.NewLimiter(logLinesPerSecond, logBurst)}
+		l.byReason[reason] = limiter
 	}
-	if !m.limiter.Allow() {
-		m.suppressed++
+	if !limiter.limiter.Allow() {
+		limiter.suppressed++
 		return 0, false
 	}
-	suppressed, m.suppressed = m.suppressed, 0
+	suppressed, limiter.suppressed = limiter.suppressed, 0
 	return suppressed, true
 }
 
--- a/transport/ingress/identify.go
+++ b/transport/ingress/identify.go
@@ -84,7 +84,7 @@
 		return true
 	}
 	q.stripAPIKey = true
-	key, given := q.handler.cfg.Dialect.APIKey(q.in)
+	key, given := q.handler.cfg.Dialect.APIKey(q.req)
 	switch {
 	case !given && q.route.Public:
 		return true
@@ -95,7 +95,7 @@
 	digest := workspace.DigestOf(key)
 	found, ok := directory.Find(digest)
 	if !ok && !q.route.Public {
-		q.handler.cfg.Keys.Renew(q.in.Context(), digest)
+		q.handler.cfg.Keys.Renew(q.req.Context(), digest)
 		found, ok = q.handler.cfg.Snapshot().Routes.Workspaces().Find(digest)
 	}
 	q.addInput("key", digest.String())
@@ -127,7 +127,7 @@
 	if q.workspace == nil {
 		return true
 	}
-	q.admission = q.handler.cfg.Limiter.Take(q.in.Context(), q.workspace)
+	q.admission = q.handler.cfg.Limiter.Take(q.req.Context(), q.workspace)
 	switch q.admission.Verdict {
 	case AdmissionOver:
 		q.rejectOverQuota()
@@ -145,7 +145,7 @@
 	q.addInput("quota", q.admission.Why)
 	q.handler.cfg.Metrics.Refused(reasonOverQuota)
 	q.recordOutcome(reasonOverQuota, http.StatusTooManyRequests)
-	q.out.Header().Set("Retry-After", strconv.FormatFloat(q.admission.After.Seconds(), 'f', 3, 64))
+	q.writer.Header().Set("Retry-After", strconv.FormatFloat(q.admission.After.Seconds(), 'f', 3, 64))
 	q.writeStatus(http.StatusTooManyRequests)
 }
 
--- a/transport/ingress/identify_test.go
+++ b/transport/ingress/identify_test.go
@@ -146,8 +146,8 @@
 	w1, _ := f.snapshot.Workers.Get("w1")
 	moved := *w1
 	moved.Region = "there"
-	here, _ := f.snapshot.Workers.Get("w0")
-	f.snapshot.Workers = worker.NewSet([]worker.Worker{*here, moved})
+	w0, _ := f.snapshot.Workers.Get("w0")
+	f.snapshot.Workers = worker.NewSet([]worker.Worker{*w0, moved})
 	f.snapshot.Regions = []string{"here", "there"}
 	setWorkspaces(
 		t, f, workspace.Config{Name: "far", Keys: []string{"far"}, Homes: []string{"there"}},
--- a/transport/ingress/ingress.go
+++ b/transport/ingress/ingress.go
@@ -163,7 +163,7 @@
 	if h.stopping.Load() {
 		w.Header().Set("Connection", "close")
 	}
-	q := &request{handler: h, in: r, out: w, arrivedAt: h.cfg.Now(), id: h.cfg.Dialect.RequestID(r)}
+	q := &request{handler: h, req: r, writer: w, arrivedAt: h.cfg.Now(), id: h.cfg.Dialect.RequestID(r)}
 	snapshot := h.awaitSnapshot(r)
 	if snapshot == nil {
 		q.refuse(reasonNoConfig)
@@ -202,7 +202,7 @@
 	if timeout, ok := h.cfg.Dialect.Patience(r); ok {
 		maxWait = min(max(time.Duration(float64(timeout)*startupWaitFraction), minStartupWait), maxStartupWait)
 	}
-	for begun := h.cfg.Now(); h.cfg.Now().Sub(begun) < maxWait && r.Context().Err() == nil; time.Sleep(startupPollInterval) {
+	for started := h.cfg.Now(); h.cfg.Now().Sub(started) < maxWait && r.Context().Err() == nil; time.Sleep(startupPollInterval) {
 		if s := h.cfg.Snapshot(); s != nil {
 			return s
 		}
@@ -225,8 +225,8 @@
 // request is the state of one client request.
 type request struct {
 	handler   *Handler
-	in        *http.Request
-	out       http.ResponseWriter
+	req       *http.Request
+	writer    http.ResponseWriter
 	id        string
 	arrivedAt time.Time
 	route     *route.Route
@@ -271,7 +271,7 @@
 // serve handles a request after its route and workspace are known.
 func (q *request) serve(s *placement.Snapshot) {
 	q.deadline = q.computeDeadline()
-	if key, ok := q.handler.cfg.Dialect.Key(q.in); ok && q.route.Affinity {
+	if key, ok := q.handler.cfg.Dialect.Key(q.req); ok && q.route.Affinity {
 		q.key, q.keyed = xxhash.Sum64String(key), true
 	} else {
 		q.key = xxhash.Sum64String(q.id)
@@ -279,7 +279,7 @@
 	q.service = q.handler.split.Choose(q.route, q.key)
 	q.share = q.handler.cfg.Rollouts.Share(q.service)
 	var err error
-	if q.body, err = readBody(q.in, s.Routes.Limits().MaxBodyBytes); err != nil {
+	if q.body, err = readBody(q.req, s.Routes.Limits().MaxBodyBytes); err != nil {
 		q.rejectBody(err)
 		return
 	}
@@ -287,7 +287,7 @@
 		return
 	}
 	defer q.refundQuota()
-	ctx, cancel := context.WithTimeout(q.in.Context(), q.remaining())
+	ctx, cancel := context.WithTimeout(q.req.Context(), q.remaining())
 	defer cancel()
 	q.handler.budget(q.service).First()
 	q.sendWithRetries(ctx)
@@ -307,7 +307,7 @@
 	if q.route.Timeout > 0 {
 		timeout = q.route.Timeout
 	}
-	if clientTimeout, ok := q.handler.cfg.Dialect.Patience(q.in); ok {
+	if clientTimeout, ok := q.handler.cfg.Dialect.Patience(q.req); ok {
 		timeout = min(timeout, clientTimeout)
 	}
 	return q.arrivedAt.Add(timeout)
--- a/transport/ingress/quarantine.go
+++ b/transport/ingress/quarantine.go
@@ -53,9 +53,9 @@
 // fingerprint returns the fingerprint of the request, computed on first use.
 func (q *request) fingerprint() quarantine.Fingerprint {
 	if q.cachedFingerprint == nil {
-		credential, _ := q.handler.cfg.Dialect.APIKey(q.in)
+		credential, _ := q.handler.cfg.Dialect.APIKey(q.req)
 		f := quarantine.FingerprintOf(quarantine.Identity{
-			Method: q.in.Method, Host: q.in.Host, Target: q.in.RequestURI,
+			Method: q.req.Method, Host: q.req.Host, Target: q.req.RequestURI,
 			Credential: credential, Body: q.body.buffered, Length: q.body.length,
 		})
 		q.cachedFingerprint = &f
@@ -63,14 +63,14 @@
 	return *q.cachedFingerprint
 }
 
-func (q *request) subject() string { return q.in.Method + " " + q.in.Host + q.in.URL.Path }
+func (q *request) subject() string { return q.req.Method + " " + q.req.Host + q.req.URL.Path }
 
 // refuseQuarantined responds to a request that is quarantined, and reports whether it
 // is. If no worker has run the request, it responds with 503 and the end of the
 // quarantine in Retry-After: a 4xx status would be final for a client whose request
 // did not cause the crashes.
 func (q *request) refuseQuarantined() bool {
-	e, found := q.handler.cfg.Quarantine.Find(quarantine.TargetOf(q.in.Host, q.in.RequestURI), q.fingerprint)
+	e, found := q.handler.cfg.Quarantine.Find(quarantine.TargetOf(q.req.Host, q.req.RequestURI), q.fingerprint)
 	if !found {
 		return false
 	}
@@ -82,7 +82,7 @@
 	q.handler.cfg.Metrics.Refused(reasonQuarantined)
 	q.recordOutcome(reasonQuarantined, http.StatusServiceUnavailable)
 	after := max(math.Ceil(e.Until.Sub(q.handler.cfg.Now()).Seconds()), 1)
-	q.out.Header().Set("Retry-After", strconv.FormatFloat(after, 'f', 0, 64))
+	q.writer.Header().Set("Retry-After", strconv.FormatFloat(after, 'f', 0, 64))
 	q.writeStatus(http.StatusServiceUnavailable)
 	return true
 }
@@ -94,7 +94,7 @@
 	q.handler.cfg.Metrics.HungUp(w.Service)
 	q.addInput("worker hung up", fmt.Sprintf("%s at %s, %d others of this VM there", q.fingerprint(), w.ID, others))
 	q.handler.cfg.Quarantine.HungUp(poison.HangUp{
-		Fingerprint: q.fingerprint(), Target: quarantine.TargetOf(q.in.Host, q.in.RequestURI),
+		Fingerprint: q.fingerprint(), Target: quarantine.TargetOf(q.req.Host, q.req.RequestURI),
 		Subject: q.subject(), Service: w.Service, Worker: w.ID, At: q.handler.cfg.Now(),
 	})
 }
--- a/transport/ingress/signals.go
+++ b/transport/ingress/signals.go
@@ -28,8 +28,8 @@
 		now := cfg.Now()
 		q.applySignal(c, worker.Leaving{Ending: worker.Ending{Heard: now, Until: now.Add(cfg.LeaveWithin)}, From: worker.FromAnswer})
 	}
-	if rest, asked := cfg.Dialect.Rest(status, header); asked {
-		q.applySignal(c, worker.Rest{For: rest})
+	if pause, asked := cfg.Dialect.Rest(status, header); asked {
+		q.applySignal(c, worker.Rest{For: pause})
 	}
 	q.readRateLimit(c, status, header)
 	return waiting
--- a/transport/ingress/try.go
+++ b/transport/ingress/try.go
@@ -40,7 +40,7 @@
 // sendWithRetries makes attempts until a worker responds or no retry is allowed.
 func (q *request) sendWithRetries(ctx context.Context) {
 	var next *placement.Choice
-	for number := 1; ; number++ {
+	for attemptNumber := 1; ; attemptNumber++ {
 		if q.refuseQuarantined() {
 			if next != nil {
 				next.Load().End()
@@ -49,20 +49,20 @@
 		}
 		s := q.handler.cfg.Snapshot()
 		if next == nil {
-			choice, refusal := q.place(s, number > 1)
-			q.recordChoice(number, choice, refusal)
+			choice, refusal := q.place(s, attemptNumber > 1)
+			q.recordChoice(attemptNumber, choice, refusal)
 			if refusal != placement.RefusalNone {
 				q.countRefusal(choice)
 				q.retryAfter = choice.Wait()
-				q.refusePlacement(busyReason(refusal, q.handler.cfg.Placer.Room(s, q.placementRequest())), number)
+				q.refusePlacement(busyReason(refusal, q.handler.cfg.Placer.Room(s, q.placementRequest())), attemptNumber)
 				return
 			}
 			next = &choice
 		}
 		var failed *failure
-		current, begun := *next, q.handler.cfg.Now()
-		failed, next = q.attempt(ctx, s, current, number)
-		q.recordAttempt(number, current, begun, failed)
+		current, started := *next, q.handler.cfg.Now()
+		failed, next = q.attempt(ctx, s, current, attemptNumber)
+		q.recordAttempt(attemptNumber, current, started, failed)
 		if failed == nil {
 			q.recordOutcome(reasonAnswered, q.status)
 			return
@@ -76,7 +76,7 @@
 		if next != nil {
 			continue // The retry was decided when the silence timer fired.
 		}
-		verdict := q.decideRetry(ctx, failed, number)
+		verdict := q.decideRetry(ctx, failed, attemptNumber)
 		q.addInput("another try", string(verdict))
 		if !verdict.Again() {
 			q.respondFailed(ctx, failed, verdict)
@@ -102,9 +102,9 @@
 	}
 }
 
-func (q *request) decideRetry(ctx context.Context, f *failure, number int) retry.Verdict {
+func (q *request) decideRetry(ctx context.Context, f *failure, attemptNumber int) retry.Verdict {
 	verdict := q.handler.budget(q.service).Decide(retry.Try{
-		Number: number, MaxTries: q.route.MaxAttempts, Cause: f.cause, NotRun: f.notRun, Unsent: f.unsent,
+		Number: attemptNumber, MaxTries: q.route.MaxAttempts, Cause: f.cause, NotRun: f.notRun, Unsent: f.unsent,
 		Repeatable: q.route.Repeatable, BodyGone: q.body.consumed, Expired: ctx.Err() != nil || q.remaining() <= 0, Suspect: q.suspected(f),
 	})
 	q.handler.cfg.Metrics.Retry(string(f.cause), string(verdict))
@@ -113,7 +113,7 @@
 
 // attempt sends the request to one worker and forwards its response. After a failure
 // it may return the worker for the next attempt.
-func (q *request) attempt(ctx context.Context, s *placement.Snapshot, c placement.Choice, number int) (*failure, *placement.Choice) {
+func (q *request) attempt(ctx context.Context, s *placement.Snapshot, c placement.Choice, attemptNumber int) (*failure, *placement.Choice) {
 	w := c.Worker()
 	q.tried = append(q.tried, w.ID)
 	q.keyNewToWorker = q.keyed && !q.handler.losses.markSent(w.Life(), q.key)
@@ -127,7 +127,7 @@
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
 	trackedAttempt := q.startRolloutAttempt(c)
-	stopTimer := q.startSilenceTimer(ctx, cancel, number)
+	stopTimer := q.startSilenceTimer(ctx, cancel, attemptNumber)
 	q.sentAt = q.handler.cfg.Now()
 	res, err := q.handler.cfg.Upstreams.Do(ctx, q.target(s, c), q.upstreamRequest(w.ID))
 	next := stopTimer()
@@ -163,15 +163,15 @@
 // responded for long, a retry is allowed and another worker has capacity. A VM that is
 // stopping waits on, so that work in progress is not canceled. The returned function
 // stops the timer and returns the worker for the next attempt if this one was canceled.
-func (q *request) startSilenceTimer(ctx context.Context, cancel context.CancelCauseFunc, number int) func() *placement.Choice {
-	if !q.route.Repeatable || number >= q.route.MaxAttempts || q.body.remainder != nil {
+func (q *request) startSilenceTimer(ctx context.Context, cancel context.CancelCauseFunc, attemptNumber int) func() *placement.Choice {
+	if !q.route.Repeatable || attemptNumber >= q.route.MaxAttempts || q.body.remainder != nil {
 		return func() *placement.Choice { return nil }
 	}
 	var next *placement.Choice
 	done := make(chan struct{})
 	timer := time.AfterFunc(time.Duration(float64(q.remaining())*silenceFraction), func() {
 		defer close(done)
-		if next = q.nextWorker(ctx, number); next != nil {
+		if next = q.nextWorker(ctx, attemptNumber); next != nil {
 			cancel(errWorkerSilent)
 		}
 	})
@@ -184,7 +184,7 @@
 }
 
 // nextWorker chooses a worker for another attempt, or returns nil if none is allowed.
-func (q *request) nextWorker(ctx context.Context, number int) *placement.Choice {
+func (q *request) nextWorker(ctx context.Context, attemptNumber int) *placement.Choice {
 	if q.handler.stopping.Load() {
 		return nil
 	}
@@ -192,7 +192,7 @@
 	if refusal != placement.RefusalNone {
 		return nil
 	}
-	if !q.decideRetry(ctx, &failure{cause: retry.CauseBroken}, number).Again() {
+	if !q.decideRetry(ctx, &failure{cause: retry.CauseBroken}, attemptNumber).Again() {
 		q.withdrawChoice()
 		choice.Load().End()
 		return nil
@@ -211,7 +211,7 @@
 }
 
 func (q *request) upstreamRequest(workerID string) *upstream.Request {
-	header := q.in.Header.Clone()
+	header := q.req.Header.Clone()
 	stripHopByHop(header)
 	header.Del("Expect")
 	if q.stripAPIKey {
@@ -219,7 +219,7 @@
 	}
 	q.handler.cfg.Dialect.Address(header, workerID, q.remaining())
 	return &upstream.Request{
-		Method: q.in.Method, Target: q.in.RequestURI, Host: q.in.Host, Header: header,
+		Method: q.req.Method, Target: q.req.RequestURI, Host: q.req.Host, Header: header,
 		Body: q.body.reader(), Length: q.body.length, Once: !q.route.Repeatable,
 	}
 }
@@ -236,7 +236,7 @@
 	if failed.Kind() != upstream.KindOther { // The header of KindWrongWorker is from a different worker.
 		q.readSignals(c, failed.Status(), failed.Header())
 	}
-	clientGone := q.in.Context().Err() != nil
+	clientGone := q.req.Context().Err() != nil
 	f.clientGone = clientGone
 	switch failed.Kind() {
 	case upstream.KindShed, upstream.KindBusy:
