--- a/scripts/switch-off.sh
+++ b/scripts/switch-off.sh
@@ -53,7 +53,7 @@
 off lapse-grace internal/gateway/lapse.go 'if !now.Before(graceEnd) {' 'if true {' ./internal/gateway TestEntriesThatLapse
 off outliers-together internal/gateway/outliers.go 'if len(told) == 0 || len(told) > maxOutcomes {' 'if true {' ./internal/gateway TestVMsSpareAFailingWorkerTogether
 off most-spared coordination/placement/eligible.go 'if float64(len(spared)) > mostSpared' 'if false && float64(len(spared)) > mostSpared' ./coordination/placement TestSparedWorkers
-off time-over-is-no-failure transport/ingress/try.go 'return errors.Is(err, context.DeadlineExceeded) ||' 'return false && errors.Is(err, context.DeadlineExceeded) &&' ./transport/ingress TestWorkerOutcomes
+off time-over-is-no-failure transport/ingress/attempt.go 'return errors.Is(err, context.DeadlineExceeded) ||' 'return false && errors.Is(err, context.DeadlineExceeded) &&' ./transport/ingress TestWorkerOutcomes
 off soak-once coordination/retry/retry.go 'case !t.NotRun && !t.Repeatable:' 'case false:' ./platform 'TestSoak$'
 off soak-drain state/worker/standing.go 'ok && !leaving.Open(now) {' 'ok && false && !leaving.Open(now) {' ./platform 'TestSoak$'
 off soak-closed coordination/placement/handover.go '!closing.Open(now) {' 'false && !closing.Open(now) {' ./platform 'TestSoak$'
@@ -75,9 +75,9 @@
 off late-answer transport/upstream/exchange.go 'if x.client.cfg.Dialect.Belongs(x.req, res) {' 'if true || stale < 0 {' ./transport/upstream TestStaleResponseIsSkipped
 off nameless-answer transport/upstream/exchange.go 'reuse := !unmatched && ' 'reuse := (unmatched || !unmatched) && ' ./transport/upstream TestMisdirectedResponse
 off announced-keep-alive transport/upstream/conn.go 'c.idleTimeout = min(c.idleTimeout, limit-limit/marginDivisor)' '_ = limit' ./transport/upstream TestKeepAliveTimeoutIsHonored
-off once-not-again transport/ingress/try.go 'Repeatable: q.route.Repeatable, BodyGone' 'Repeatable: true, BodyGone' ./transport/ingress TestRetries
-off answer-not-whole transport/ingress/answer.go 'panic(http.ErrAbortHandler)' 'return' ./transport/ingress TestTruncatedResponse
-off stopping-waits-on transport/ingress/try.go 'if q.handler.stopping.Load() {' 'if false && q.handler.stopping.Load() {' ./transport/ingress TestTimeouts
+off once-not-again transport/ingress/attempt.go 'Repeatable: q.route.Repeatable, BodyGone' 'Repeatable: true, BodyGone' ./transport/ingress TestRetries
+off answer-not-whole transport/ingress/response.go 'panic(http.ErrAbortHandler)' 'return' ./transport/ingress TestTruncatedResponse
+off stopping-waits-on transport/ingress/attempt.go 'if q.handler.stopping.Load() {' 'if false && q.handler.stopping.Load() {' ./transport/ingress TestTimeouts
 off unsent-is-free coordination/retry/retry.go 'case t.Home, t.Unsent && t.Number < maxUnsent:' 'case t.Home:' ./transport/ingress TestUnreachableWorkersUseNoRetries
 off cold-owner coordination/placement/cold.go 'if len(owner) == 0 || owner[0] != c.cfg.VM {' 'if len(owner) == 0 {' ./coordination/placement TestColdRateOfAllVMs
 off cold-isolated coordination/placement/cold.go 'if 2*len(live) < listed {' 'if false && 2*len(live) < listed {' ./coordination/placement 'TestColdRateOfAllVMs|TestColdRateOfManyThatAreAlone'
@@ -91,9 +91,9 @@
 		k.history' 'if true {
 		k.history' ./state/object TestDeltas
 off large-parts-follow internal/gateway/teller.go 'g.replica.Changed(), g.copies.freed()' 'g.replica.Changed(), make(chan struct{})' ./internal/gateway TestLargePartsFollow
-off key-hidden transport/ingress/try.go 'if q.stripAPIKey {' 'if false {' ./transport/ingress TestWorkspaceFromAPIKey
-off key-needed transport/ingress/identify.go 'case !known:' 'case false:' ./transport/ingress TestWorkspaceFromAPIKey
-off workspace-homes transport/ingress/identify.go '(q.workspace == nil || q.workspace.AllowsRegion(region))' 'true' ./transport/ingress TestWorkspaceHomeRegions
+off key-hidden transport/ingress/attempt.go 'if q.stripAPIKey {' 'if false {' ./transport/ingress TestWorkspaceFromAPIKey
+off key-needed transport/ingress/authenticate.go 'case !known:' 'case false:' ./transport/ingress TestWorkspaceFromAPIKey
+off workspace-homes transport/ingress/authenticate.go '(q.workspace == nil || q.workspace.AllowsRegion(region))' 'true' ./transport/ingress TestWorkspaceHomeRegions
 off strict-revocation internal/gateway/keys.go 'return !g.cfg.Bounds.StrictRevocation ||' 'return true ||' ./internal/gateway TestStrictRevocation
 off strangers-are-bounded internal/gateway/keys.go 'if now.Sub(k.last) < keyQuestionInterval {' 'if false {' ./internal/gateway TestStrangersAreNoLever
 off quota-loans-end coordination/ratelimit/pool.go 'if !l.Until.After(now) && (first.VM' 'if false && (first.VM' ./coordination/ratelimit TestNoWindowPassesTheLimit
@@ -120,7 +120,7 @@
 off tree-depth internal/gateway/teller.go 'ask.GetHoldMillis() > 0 && ask.GetDepth() <= 1' 'ask.GetHoldMillis() > 0' ./internal/gateway 'TestDeepTree$'
 off turns-at-the-start internal/gateway/start.go 'min(time.Duration(rank)*listTurn, lastTurn)' 'min(0*time.Duration(rank), lastTurn)' ./internal/gateway TestAllVMsReturn
 off packed-is-news internal/gateway/teller.go '|| len(d.GetPacked()) > 0' '' ./internal/gateway TestLargeDeltas
-off ended-workers-told transport/ingress/try.go 'c.Load().Gone()' '' ./internal/gateway TestVMsHearThat
+off ended-workers-told transport/ingress/attempt.go 'c.Load().Gone()' '' ./internal/gateway TestVMsHearThat
 off keys-handed-over coordination/placement/handover.go 'rand.Float64() < max(' 'rand.Float64() < 1+max(' ./coordination/placement TestKeysAreHandedOver
 off gate-of-all-kinds internal/gateway/gate.go 'if g.failures == 0 {' 'if g.failures >= 0 {' ./internal/gateway TestCallsToAStore
 off no-copies-for-a-region state/object/replica.go 'd.Listed, d.Listing = true, k.listing()
@@ -169,7 +169,7 @@
 		} else {' ./platform TestNeighboursOfFaulty
 off leaving-heard transport/ingress/signals.go 'if cfg.Dialect.Leaving(header) {' 'if false && cfg.Dialect.Leaving(header) {' ./internal/gateway TestWorkerThatSaysItLeaves
 off rests-heard transport/ingress/signals.go 'cfg.Dialect.Rest(status, header); asked {' 'cfg.Dialect.Rest(status, header); asked && false {' ./internal/gateway TestWorkersThatAskForRest
-off own-words-only transport/ingress/try.go 'if failed.Kind() != upstream.KindOther {' 'if true {' ./transport/ingress TestLeavingSignal
+off own-words-only transport/ingress/attempt.go 'if failed.Kind() != upstream.KindOther {' 'if true {' ./transport/ingress TestLeavingSignal
 off leaving-told-on internal/gateway/signals.go 'if leaving := signals.Leaving; !leaving' 'if leaving := signals.Leaving; false && !leaving' ./internal/gateway TestVMsTellEachOtherWhoLeaves
 off limit-permits internal/gateway/gateway.go 'Demand: g.balancer.meter, Permits: g.permits,' 'Demand: g.balancer.meter,' ./internal/gateway TestWorkersThatNameALimit
 off limit-one-issuer internal/gateway/permits.go '!found || vm != p.gateway.cfg.VM {' '!found || vm == "" {' ./internal/gateway TestOnlyTheIssuerHandsOut
