--- a/transport/ingress/authenticate.go
+++ b/transport/ingress/authenticate.go
@@ -39,7 +39,7 @@
 // Admission is the result of a quota check.
 type Admission struct {
 	Verdict AdmissionVerdict
-	// After is when the quota may admit a request again; Why explains the verdict.
+	// After is the time until the quota may admit a request again. Reason explains the verdict.
 	After time.Duration
 	Why   string
 	// Refund returns the request to the quota if no worker has run it. It is nil
--- a/transport/ingress/records.go
+++ b/transport/ingress/records.go
@@ -18,7 +18,7 @@
 
 const (
 	// failedCapacity and answeredCapacity limit the decision records kept in
-	// memory. Failed requests are looked up more often, so more of them are kept.
+	// memory. Failed requests are looked up more often, so their limit is higher.
 	failedCapacity, answeredCapacity = 2048, 512
 	// logLinesPerSecond and logBurst limit the log lines for each reason.
 	logLinesPerSecond, logBurst = 20, 50
@@ -143,16 +143,16 @@
 func (l *logLimiter) allow(reason string) (suppressed int, ok bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	limiter, known := l.byReason[reason]
+	entry, known := l.byReason[reason]
 	if !known {
-		limiter = &reasonLimiter{limiter: rate.NewLimiter(logLinesPerSecond, logBurst)}
-		l.byReason[reason] = limiter
+		entry = &reasonLimiter{limiter: rate.NewLimiter(logLinesPerSecond, logBurst)}
+		l.byReason[reason] = entry
 	}
-	if !limiter.limiter.Allow() {
-		limiter.suppressed++
+	if !entry.limiter.Allow() {
+		entry.suppressed++
 		return 0, false
 	}
-	suppressed, limiter.suppressed = limiter.suppressed, 0
+	suppressed, entry.suppressed = entry.suppressed, 0
 	return suppressed, true
 }
 
