--- a/transport/ingress/attempt.go
+++ b/transport/ingress/attempt.go
@@ -233,7 +233,7 @@
 	}
 	f.notRun = failed.NotRun()
 	f.unsent = failed.Kind() == upstream.KindUnreachable || failed.Kind() == upstream.KindBusy
-	if failed.Kind() != upstream.KindOther { // The header of KindWrongWorker is from a different worker.
+	if failed.Kind() != upstream.KindOther { // Otherwise the header is from a different worker.
 		q.readSignals(c, failed.Status(), failed.Header())
 	}
 	clientGone := q.req.Context().Err() != nil
--- a/transport/ingress/authenticate.go
+++ b/transport/ingress/authenticate.go
@@ -27,7 +27,7 @@
 // AdmissionVerdict tells whether a workspace's quota admits a request.
 type AdmissionVerdict int
 
-// Admission verdicts.
+// Values of AdmissionVerdict.
 const (
 	AdmissionPassed AdmissionVerdict = iota
 	// AdmissionOver means that the quota of the workspace is exhausted.
--- a/transport/ingress/ingress.go
+++ b/transport/ingress/ingress.go
@@ -91,7 +91,7 @@
 	Demand *demand.Meter
 	// Meters count the traffic to the workers of each hall. Nil disables them.
 	Meters *load.HallMeters
-	// VMs returns the number of VMs that share the connection limit of a service; at least 1.
+	// VMs returns the number by which the connection limit of a service is divided; at least 1.
 	VMs func() int
 	// Retry configures the retry budget of each service.
 	Retry retry.Config
