--- a/scripts/switch-off.sh
+++ b/scripts/switch-off.sh
@@ -53,7 +53,7 @@
 off lapse-grace internal/gateway/lapse.go 'if !now.Before(graceEnd) {' 'if true {' ./internal/gateway TestEntriesThatLapse
 off outliers-together internal/gateway/outliers.go 'if len(told) == 0 || len(told) > maxOutcomes {' 'if true {' ./internal/gateway TestVMsSpareAFailingWorkerTogether
 off most-spared coordination/placement/eligible.go 'if float64(len(spared)) > maxSparedShare' 'if false && float64(len(spared)) > maxSparedShare' ./coordination/placement TestSparedWorkers
-off time-over-is-no-failure transport/ingress/try.go 'return errors.Is(err, context.DeadlineExceeded) ||' 'return false && errors.Is(err, context.DeadlineExceeded) &&' ./transport/ingress TestOutcomesOfWorkers
+off time-over-is-no-failure transport/ingress/attempt.go 'return errors.Is(err, context.DeadlineExceeded) ||' 'return false && errors.Is(err, context.DeadlineExceeded) &&' ./transport/ingress TestWorkerOutcomes
 off soak-once coordination/retry/retry.go 'case !a.NotRun && !a.Idempotent:' 'case false:' ./platform 'TestSoak$'
 off soak-drain state/worker/availability.go 'ok && !leaving.Open(now) {' 'ok && false && !leaving.Open(now) {' ./platform 'TestSoak$'
 off soak-closed coordination/placement/handover.go '!closing.Open(now) {' 'false && !closing.Open(now) {' ./platform 'TestSoak$'
@@ -66,19 +66,19 @@
 off holders-gaps state/holders/holders.go 'd.Since > current.version ||' '' ./state/holders 'TestGapsAreNotMerged|TestFollowersConverge'
 off holders-spread internal/gateway/teller.go 'g.balancer.table.Merge(fromBalanced(answer.GetBalanced()))' '' ./internal/gateway TestVMsFollowOneTable
 off loads-shared internal/gateway/teller.go 'g.passOnLoads(ask.GetLoads())' '' ./internal/gateway TestVMsShareTheLoadOfWorkers
-off losses-by-cause transport/ingress/losses.go 'case q.newKey:' 'case false:' ./transport/ingress TestLossesByCause
+off losses-by-cause transport/ingress/losses.go 'case q.keyNewToWorker:' 'case false:' ./transport/ingress TestLossesByCause
 off usable-slots coordination/capacity/pool.go 'if p.inUse >= usable || len(p.order) == 0 {' 'if len(p.order) == 0 {' ./coordination/capacity TestNeverMoreThanUsable
 off lending-headroom coordination/capacity/grant.go 'usable - headroom - p.inUse' 'usable - 0*headroom - p.inUse' ./coordination/capacity TestNeverMoreThanUsable
 off grant-lapse coordination/capacity/grant.go 'if !now.Before(g.expiresAt) {' 'if false && !now.Before(g.expiresAt) {' ./coordination/capacity TestGrantExpires
 off holder-looks-at-clock coordination/capacity/holder.go 'if g.inUse < g.Slots && now.Before(g.ExpiresAt) &&' 'if g.inUse < g.Slots && now.Before(now.Add(1)) &&' ./coordination/capacity TestGrantExpires
 off own-callers-first coordination/capacity/pool.go 'if p.inUse >= usable || len' 'if p.inUse+p.lentUnused() >= usable || len' ./coordination/capacity TestIdleLentSlots
-off late-answer transport/upstream/exchange.go 'if x.client.cfg.Dialect.Belongs(x.req, res) {' 'if true || late < 0 {' ./transport/upstream TestLateAnswerIsPassedOver
-off nameless-answer transport/upstream/exchange.go 'keep := !nameless && ' 'keep := (nameless || !nameless) && ' ./transport/upstream TestAnotherWorkerHasTheAddress
-off announced-keep-alive transport/upstream/conn.go 'c.idleFor = min(c.idleFor, limit-limit/margin)' '_ = limit' ./transport/upstream TestAnnouncedKeepAliveIsHeeded
-off once-not-again transport/ingress/try.go 'Idempotent: q.route.Repeatable, BodyConsumed' 'Idempotent: true, BodyConsumed' ./transport/ingress TestSendingAgain
-off answer-not-whole transport/ingress/answer.go 'panic(http.ErrAbortHandler)' 'return' ./transport/ingress TestBrokenAnswerDoesNotLookWhole
-off stopping-waits-on transport/ingress/try.go 'if q.handler.stopping.Load() {' 'if false && q.handler.stopping.Load() {' ./transport/ingress TestTimes
-off unsent-is-free coordination/retry/retry.go 'case a.HomeFallback, a.Unsent && a.Number < maxUnsent:' 'case a.HomeFallback:' ./transport/ingress TestUnreachableWorkersCostNoTry
+off late-answer transport/upstream/exchange.go 'if x.client.cfg.Dialect.Belongs(x.req, res) {' 'if true || stale < 0 {' ./transport/upstream TestStaleResponseIsSkipped
+off nameless-answer transport/upstream/exchange.go 'reuse := !unmatched && ' 'reuse := (unmatched || !unmatched) && ' ./transport/upstream TestMisdirectedResponse
+off announced-keep-alive transport/upstream/conn.go 'c.idleTimeout = min(c.idleTimeout, limit-limit/marginDivisor)' '_ = limit' ./transport/upstream TestKeepAliveTimeoutIsHonored
+off once-not-again transport/ingress/attempt.go 'Idempotent: q.route.Repeatable, BodyConsumed' 'Idempotent: true, BodyConsumed' ./transport/ingress TestRetries
+off answer-not-whole transport/ingress/response.go 'panic(http.ErrAbortHandler)' 'return' ./transport/ingress TestTruncatedResponse
+off stopping-waits-on transport/ingress/attempt.go 'if q.handler.stopping.Load() {' 'if false && q.handler.stopping.Load() {' ./transport/ingress TestTimeouts
+off unsent-is-free coordination/retry/retry.go 'case a.HomeFallback, a.Unsent && a.Number < maxUnsent:' 'case a.HomeFallback:' ./transport/ingress TestUnreachableWorkersUseNoRetries
 off cold-owner coordination/placement/cold.go 'if len(owner) == 0 || owner[0] != c.cfg.VM {' 'if len(owner) == 0 {' ./coordination/placement TestColdRateOfAllVMs
 off cold-isolated coordination/placement/cold.go 'if 2*len(live) < listed {' 'if false && 2*len(live) < listed {' ./coordination/placement 'TestColdRateOfAllVMs|TestColdRateOfIsolatedVMs'
 off closed-halls coordination/placement/handover.go '|| s.Closed[w.Hall] && !s.Closing[w.Hall].Open(now)' '' ./coordination/placement TestIneligibleWorkersGetNothing
@@ -91,9 +91,9 @@
 		k.history' 'if true {
 		k.history' ./state/object TestDeltas
 off large-parts-follow internal/gateway/teller.go 'g.replica.Changed(), g.copies.freed()' 'g.replica.Changed(), make(chan struct{})' ./internal/gateway TestLargePartsFollow
-off key-hidden transport/ingress/try.go 'if q.hideKey {' 'if false {' ./transport/ingress TestWorkspacesAreKnownByTheirKeys
-off key-needed transport/ingress/identify.go 'case !known:' 'case false:' ./transport/ingress TestWorkspacesAreKnownByTheirKeys
-off workspace-homes transport/ingress/identify.go '(q.workspace == nil || q.workspace.AllowsRegion(region))' 'true' ./transport/ingress TestHomesOfWorkspacesBind
+off key-hidden transport/ingress/attempt.go 'if q.stripAPIKey {' 'if false {' ./transport/ingress TestWorkspaceFromAPIKey
+off key-needed transport/ingress/authenticate.go 'case !known:' 'case false:' ./transport/ingress TestWorkspaceFromAPIKey
+off workspace-homes transport/ingress/authenticate.go '(q.workspace == nil || q.workspace.AllowsRegion(region))' 'true' ./transport/ingress TestWorkspaceHomeRegions
 off strict-revocation internal/gateway/keys.go 'return !g.cfg.Bounds.StrictRevocation ||' 'return true ||' ./internal/gateway TestStrictRevocation
 off strangers-are-bounded internal/gateway/keys.go 'if now.Sub(k.last) < keyQuestionInterval {' 'if false {' ./internal/gateway TestStrangersAreNoLever
 off quota-loans-end coordination/ratelimit/pool.go 'if !l.Until.After(now) && (first.VM' 'if false && (first.VM' ./coordination/ratelimit TestNoWindowExceedsTheLimit
@@ -120,15 +120,15 @@
 off tree-depth internal/gateway/teller.go 'ask.GetHoldMillis() > 0 && ask.GetDepth() <= 1' 'ask.GetHoldMillis() > 0' ./internal/gateway 'TestDeepTree$'
 off turns-at-the-start internal/gateway/start.go 'min(time.Duration(rank)*listTurn, lastTurn)' 'min(0*time.Duration(rank), lastTurn)' ./internal/gateway TestAllVMsReturn
 off packed-is-news internal/gateway/teller.go '|| len(d.GetPacked()) > 0' '' ./internal/gateway TestLargeDeltas
-off ended-workers-told transport/ingress/try.go 'c.Load().MarkAddressReused()' '' ./internal/gateway TestVMsHearThat
+off ended-workers-told transport/ingress/attempt.go 'c.Load().MarkAddressReused()' '' ./internal/gateway TestVMsHearThat
 off keys-handed-over coordination/placement/handover.go 'rand.Float64() < max(' 'rand.Float64() < 1+max(' ./coordination/placement TestKeysAreHandedOver
 off gate-of-all-kinds internal/gateway/gate.go 'if g.failures == 0 {' 'if g.failures >= 0 {' ./internal/gateway TestCallsToAStore
 off no-copies-for-a-region state/object/replica.go 'd.Listed, d.Listing = true, k.listing()
 		d.Events = k.changedAfter(revision)' 'd.Full, d.Since = true, 0
 		d.Events = k.changedAfter(0)' ./internal/gateway TestRegionKeepsUp state/object/replica.go 'case k.remembers(revision):' 'case false:'
 off link-pacing coordination/link/link.go 'if limiter == nil {' 'if limiter != nil || limiter == nil {' ./internal/fleet TestLinkLimitHolds
-off surplus-answer transport/upstream/exchange.go 'b.exchange.end(keep && b.exchange.conn.reader.Buffered() == 0)' 'b.exchange.end(keep)' ./transport/upstream TestSurplusAnswer transport/upstream/conn.go 'return !c.spoilt' 'return true'
-off unknown-end transport/upstream/exchange.go 'if lengthless && !x.client' 'if false && !x.client' ./transport/upstream TestBrokenAnswers
+off surplus-answer transport/upstream/exchange.go 'b.exchange.release(reuse && b.exchange.conn.reader.Buffered() == 0)' 'b.exchange.release(reuse)' ./transport/upstream TestSurplusResponse transport/upstream/conn.go 'return !c.unusable' 'return true'
+off unknown-end transport/upstream/exchange.go 'if closeDelimited && !x.client' 'if false && !x.client' ./transport/upstream TestIncompleteResponses
 off broken-is-broken transport/entry/entry.go 'panic(http.ErrAbortHandler)
 	}
 	h.refuse' 'return
@@ -136,7 +136,7 @@
 	h.refuse' ./internal/program TestSessions/broken
 off attempt-table state/attempt/attempt.go 'if c, ok := s.records[ticket.nonce]; ok {' 'if c, ok := s.records[ticket.nonce]; ok && false {' ./state/attempt 'TestTicketRuns|TestOnlyOne'
 off start-number state/attempt/attempt.go 'if ticket.start != t.cfg.Start {' 'if false {' ./internal/program TestSessions/once
-off fresh-connection transport/upstream/exchange.go 'c.connect(ctx, w, req.Once)' 'c.connect(ctx, w, false)' ./transport/upstream TestOnceNever
+off fresh-connection transport/upstream/exchange.go 'c.connect(ctx, w, req.AtMostOnce)' 'c.connect(ctx, w, false)' ./transport/upstream TestAtMostOnceOpens
 off no-retry-after-send coordination/retry/retry.go 'case !a.NotRun && !a.Idempotent:' 'case false:' ./internal/program TestSessions/once
 off used-ticket-at-the-door transport/relay/engine.go 'failure = e.refuseTicket(r, failure)' '' ./internal/program TestSessions/stop
 off leaving-sticky coordination/capacity/worker.go 'w.leaving = w.leaving || r.Leaving ||' 'w.leaving = r.Leaving ||' ./coordination/capacity TestLeavingIsSticky
@@ -169,14 +169,14 @@
 		} else {' ./platform TestNeighboursOfFaulty
 off leaving-heard transport/ingress/signals.go 'if cfg.Dialect.Leaving(header) {' 'if false && cfg.Dialect.Leaving(header) {' ./internal/gateway TestWorkerThatSaysItLeaves
 off rests-heard transport/ingress/signals.go 'cfg.Dialect.Rest(status, header); asked {' 'cfg.Dialect.Rest(status, header); asked && false {' ./internal/gateway TestWorkersThatAskForRest
-off own-words-only transport/ingress/try.go 'if failed.Kind() != upstream.KindOther {' 'if true {' ./transport/ingress TestSignalsAreHeard
+off own-words-only transport/ingress/attempt.go 'if failed.Kind() != upstream.KindWrongWorker {' 'if true {' ./transport/ingress TestLeavingSignal
 off leaving-told-on internal/gateway/signals.go 'if leaving := signals.Leaving; !leaving' 'if leaving := signals.Leaving; false && !leaving' ./internal/gateway TestVMsTellEachOtherWhoLeaves
 off limit-permits internal/gateway/gateway.go 'Demand: g.balancer.meter, Permits: g.permits,' 'Demand: g.balancer.meter,' ./internal/gateway TestWorkersThatNameALimit
 off limit-one-issuer internal/gateway/permits.go '!found || vm != p.gateway.cfg.VM {' '!found || vm == "" {' ./internal/gateway TestOnlyTheIssuerHandsOut
 off limit-isolated coordination/ratelimit/issuer.go 'if 2*d.LiveVMs < d.ListedVMs {' 'if false {' ./coordination/ratelimit TestIssuersStayWithinTheLimit
 off limit-told internal/gateway/signals.go 'message := toldLimit(now, signals.RateLimit)' 'message := &peerpb.WorkerSignals{}' ./platform 'TestSessions/limits'
 off limit-tighter-first state/worker/ratelimit.go 'case previous.Finite() && r.PerSecond > previous.PerSecond && !r.earliestCreation().After(previous.ReceivedAt):' 'case false:' ./state/worker TestOutOfOrderRateLimits
-off limit-success-ends transport/ingress/signals.go 'case limit.Finite() || status < http.StatusMultipleChoices:' 'default:' ./transport/ingress TestLimitsAreHeard
+off limit-success-ends transport/ingress/signals.go 'case limit.Finite() || status < http.StatusMultipleChoices:' 'default:' ./transport/ingress TestRateLimitSignal
 off limit-spills-over coordination/placement/placement.go 'if refusal == RefusalLimited {' 'if false {' ./coordination/placement TestRateLimitsAreEnforced
 off limit-urgent-first coordination/ratelimit/issuer.go 'reserve := priorityReserve * float64(' 'reserve := 0 * float64(' ./coordination/ratelimit TestIssuerServesUrgent
 off soak-limit internal/gateway/gateway.go 'Demand: g.balancer.meter, Permits: g.permits,' 'Demand: g.balancer.meter,' ./platform 'TestSoak$/seed_21004'
@@ -199,5 +199,5 @@
 off rollout-waits-for-all coordination/rollout/decider.go 'case proved < in.VMs:' 'case false:' ./coordination/rollout TestVMsThatAreNotReached
 off rollout-closes coordination/rollout/splitter.go 's.phase == rollout.PhaseProved && !s.step.Closed' 's.phase == rollout.PhaseProved' ./coordination/rollout TestOldWorkersServe
 off list-read-once internal/gateway/watch.go 'if !known || content == c.listed {' 'if !known {' ./internal/gateway TestListOfVMsIsRead
-off given-up-is-reset transport/upstream/conn.go '_ = tcp.SetLinger(0)' '_ = tcp' ./transport/upstream TestRequestThatWasGivenUp
+off given-up-is-reset transport/upstream/conn.go '_ = tcp.SetLinger(0)' '_ = tcp' ./transport/upstream TestCancelResetsConnection
 exit $missed
--- /dev/null
+++ b/transport/ingress/attempt.go
@@ -0,0 +1,299 @@
+// Copyright 2026 The ryehill Authors
+// SPDX-License-Identifier: Apache-2.0
+
+package ingress
+
+import (
+	"context"
+	"net/http"
+	"syscall"
+	"time"
+
+	"github.com/cockroachdb/errors"
+
+	"github.com/ryehill/ryehill/coordination/placement"
+	"github.com/ryehill/ryehill/coordination/retry"
+	"github.com/ryehill/ryehill/state/load"
+	"github.com/ryehill/ryehill/transport/upstream"
+)
+
+// silenceFraction is the fraction of the remaining time after which a repeatable
+// request is sent to another worker, if the first one has not responded.
+const silenceFraction = 0.55
+
+// errWorkerSilent cancels an attempt whose worker has not responded in time.
+var errWorkerSilent = errors.New("ingress: the worker has not answered for long")
+
+// failure describes an attempt without a response.
+type failure struct {
+	cause  retry.Cause
+	notRun bool
+	// unsent is set if no byte was sent to the worker.
+	unsent bool
+	// peerClosed is set if the worker closed the connection before it responded.
+	peerClosed bool
+	// clientGone is set if the client had disconnected before the attempt ended.
+	clientGone bool
+	err        error
+}
+
+// sendWithRetries makes attempts until a worker responds or no retry is allowed.
+func (q *request) sendWithRetries(ctx context.Context) {
+	var next *placement.Choice
+	for attemptNumber := 1; ; attemptNumber++ {
+		if q.refuseQuarantined() {
+			if next != nil {
+				next.Load().End()
+			}
+			return
+		}
+		s := q.handler.cfg.Snapshot()
+		if next == nil {
+			choice, refusal := q.place(s, attemptNumber > 1)
+			q.recordChoice(attemptNumber, choice, refusal)
+			if refusal != placement.RefusalNone {
+				q.countRefusal(choice)
+				q.retryAfter = choice.RetryAfter()
+				q.refusePlacement(busyReason(refusal, q.handler.cfg.Placer.HasCapacity(s, q.placementRequest())), attemptNumber)
+				return
+			}
+			next = &choice
+		}
+		var failed *failure
+		current, started := *next, q.handler.cfg.Now()
+		failed, next = q.attempt(ctx, s, current, attemptNumber)
+		q.recordAttempt(attemptNumber, current, started, failed)
+		if failed == nil {
+			q.recordOutcome(reasonAnswered, q.status)
+			return
+		}
+		q.mayHaveRun = q.mayHaveRun || !failed.notRun
+		q.handler.cfg.Metrics.Tried(string(failed.cause))
+		if q.headSent {
+			q.abort(reasonUpstreamBroken)
+			return
+		}
+		if next != nil {
+			continue // The retry was decided when the silence timer fired.
+		}
+		verdict := q.decideRetry(ctx, failed, attemptNumber)
+		q.addInput("another try", string(verdict))
+		if !verdict.Allowed() {
+			q.respondFailed(ctx, failed, verdict)
+			return
+		}
+	}
+}
+
+// countRefusal counts a refused request in the hall of the worker that was considered
+// first.
+func (q *request) countRefusal(c placement.Choice) {
+	if considered := c.Considered(); len(considered) > 0 {
+		meter := q.handler.cfg.Meters.Meter(considered[0].Hall)
+		meter.Begin(q.service)
+		meter.End(q.service, load.RequestResult{Refused: true})
+	}
+}
+
+func (q *request) placementRequest() placement.Request {
+	return placement.Request{
+		Service: q.service, Key: q.key, Keyed: q.keyed,
+		Allows: q.allowsRegion, Tried: q.tried, Track: q.track, Priority: q.route.Priority,
+	}
+}
+
+func (q *request) decideRetry(ctx context.Context, f *failure, attemptNumber int) retry.Decision {
+	verdict := q.handler.budget(q.service).Decide(retry.Attempt{
+		Number: attemptNumber, MaxAttempts: q.route.MaxAttempts, Cause: f.cause, NotRun: f.notRun, Unsent: f.unsent,
+		Idempotent: q.route.Repeatable, BodyConsumed: q.body.consumed, DeadlinePassed: ctx.Err() != nil || q.remaining() <= 0, SuspectedCrash: q.suspected(f),
+	})
+	q.handler.cfg.Metrics.Retry(string(f.cause), string(verdict))
+	return verdict
+}
+
+// attempt sends the request to one worker and forwards its response. After a failure
+// it may return the worker for the next attempt.
+func (q *request) attempt(ctx context.Context, s *placement.Snapshot, c placement.Choice, attemptNumber int) (*failure, *placement.Choice) {
+	w := c.Worker()
+	q.tried = append(q.tried, w.ID)
+	q.keyNewToWorker = q.keyed && !q.handler.losses.markSent(w.Incarnation(), q.key)
+	workerLoad := c.Load()
+	defer workerLoad.End()
+	meter := q.handler.cfg.Meters.Meter(w.Hall)
+	meter.Begin(w.Service)
+	defer func() {
+		meter.End(w.Service, load.RequestResult{Moved: c.Moved(), Bytes: max(q.body.length, 0) + q.responseBytes})
+	}()
+	ctx, cancel := context.WithCancelCause(ctx)
+	defer cancel(nil)
+	trackedAttempt := q.startRolloutAttempt(c)
+	stopTimer := q.startSilenceTimer(ctx, cancel, attemptNumber)
+	q.sentAt = q.handler.cfg.Now()
+	res, err := q.handler.cfg.Upstreams.Do(ctx, q.target(s, c), q.upstreamRequest(w.ID))
+	next := stopTimer()
+	if err != nil {
+		failed := q.classifyFailure(c, err)
+		trackedAttempt.failed(failed)
+		return failed, next
+	}
+	if next != nil {
+		next.Load().End() // The response arrived while the timer fired.
+	}
+	defer res.Close()
+	q.workerQueue = q.readSignals(c, res.Status(), res.Header())
+	if res.Renewed() {
+		workerLoad.RecordAllConnectionsClosed()
+	}
+	workerLoad.ConfirmAlive(res.Opened())
+	workerLoad.RecordOutcome(countsAgainstWorker(res.Status()))
+	q.reportAnswered(res.Status())
+	q.handler.cfg.Demand.RecordLatency(w.Service, q.elapsed(q.sentAt))
+	if err := q.forwardResponse(res); err != nil {
+		workerLoad.RecordFailure()
+		failed := &failure{cause: retry.CauseBroken, err: err}
+		trackedAttempt.failed(failed)
+		return failed, nil
+	}
+	trackedAttempt.answered(res.Status())
+	workerLoad.RecordResponse()
+	return nil, nil
+}
+
+// startSilenceTimer cancels an attempt of a repeatable request if its worker has not
+// responded for long, a retry is allowed and another worker has capacity. A VM that is
+// stopping waits on, so that work in progress is not canceled. The returned function
+// stops the timer and returns the worker for the next attempt if this one was canceled.
+func (q *request) startSilenceTimer(ctx context.Context, cancel context.CancelCauseFunc, attemptNumber int) func() *placement.Choice {
+	if !q.route.Repeatable || attemptNumber >= q.route.MaxAttempts || q.body.remainder != nil {
+		return func() *placement.Choice { return nil }
+	}
+	var next *placement.Choice
+	done := make(chan struct{})
+	timer := time.AfterFunc(time.Duration(float64(q.remaining())*silenceFraction), func() {
+		defer close(done)
+		if next = q.nextWorker(ctx, attemptNumber); next != nil {
+			cancel(errWorkerSilent)
+		}
+	})
+	return func() *placement.Choice {
+		if !timer.Stop() {
+			<-done
+		}
+		return next
+	}
+}
+
+// nextWorker chooses a worker for another attempt, or returns nil if none is allowed.
+func (q *request) nextWorker(ctx context.Context, attemptNumber int) *placement.Choice {
+	if q.handler.stopping.Load() {
+		return nil
+	}
+	choice, refusal := q.place(q.handler.cfg.Snapshot(), true)
+	if refusal != placement.RefusalNone {
+		return nil
+	}
+	if !q.decideRetry(ctx, &failure{cause: retry.CauseBroken}, attemptNumber).Allowed() {
+		q.withdrawChoice()
+		choice.Load().End()
+		return nil
+	}
+	return &choice
+}
+
+func (q *request) target(s *placement.Snapshot, c placement.Choice) upstream.Worker {
+	w := c.Worker()
+	service, _ := s.Routes.Service(w.Service)
+	connections := 0
+	if service.MaxConnections > 0 {
+		connections = max(service.MaxConnections/q.handler.cfg.VMs(), 2)
+	}
+	return upstream.Worker{ID: w.ID, Start: w.Start, Address: w.Address, Connections: connections}
+}
+
+func (q *request) upstreamRequest(workerID string) *upstream.Request {
+	header := q.req.Header.Clone()
+	stripHopByHop(header)
+	header.Del("Expect")
+	if q.stripAPIKey {
+		q.handler.cfg.Dialect.SetWorkspace(header, q.workspace.Name())
+	}
+	q.handler.cfg.Dialect.Address(header, workerID, q.remaining())
+	return &upstream.Request{
+		Method: q.req.Method, Target: q.req.RequestURI, Host: q.req.Host, Header: header,
+		Body: q.body.reader(), Length: q.body.length, Once: !q.route.Repeatable,
+	}
+}
+
+// classifyFailure classifies the error of an attempt and updates the worker's state.
+func (q *request) classifyFailure(c placement.Choice, err error) *failure {
+	f := &failure{cause: retry.CauseBroken, err: err}
+	var failed *upstream.Error
+	if !errors.As(err, &failed) {
+		return f
+	}
+	f.notRun = failed.NotRun()
+	f.unsent = failed.Kind() == upstream.KindUnreachable || failed.Kind() == upstream.KindBusy
+	if failed.Kind() != upstream.KindOther { // Otherwise the header is from a different worker.
+		q.readSignals(c, failed.Status(), failed.Header())
+	}
+	clientGone := q.req.Context().Err() != nil
+	f.clientGone = clientGone
+	switch failed.Kind() {
+	case upstream.KindShed, upstream.KindBusy:
+		f.cause = retry.CauseShed
+	case upstream.KindLeaving:
+		f.cause = retry.CauseLeaving
+		c.Load().RecordFailure()
+	case upstream.KindUnreachable:
+		f.cause = retry.CauseUnreachable
+		if !clientGone {
+			c.Load().RecordFailure()
+			c.Load().RecordOutcome(true)
+		}
+		if errors.Is(err, syscall.ECONNREFUSED) {
+			c.Load().RecordConnectionRefused()
+		}
+	case upstream.KindOther:
+		f.cause = retry.CauseUnreachable
+		c.Load().MarkAddressReused()
+	case upstream.KindBroken:
+		if !clientGone {
+			c.Load().RecordFailure()
+			c.Load().RecordOutcome(!timedOut(err))
+		}
+		if !clientGone && failed.HungUp() {
+			f.peerClosed = true
+			c.Load().RecordConnectionClosed()
+			q.reportHangUp(c)
+		}
+	case upstream.KindBody:
+	}
+	return f
+}
+
+// countsAgainstWorker reports whether a response status counts as a failure of the worker.
+// A gateway timeout does not: under overload requests time out at every worker, and
+// avoiding one would put more load on the others.
+func countsAgainstWorker(status int) bool {
+	return status >= http.StatusInternalServerError && status != http.StatusGatewayTimeout
+}
+
+// timedOut reports whether an attempt ended by a timeout or cancellation.
+func timedOut(err error) bool {
+	return errors.Is(err, context.DeadlineExceeded) || errors.Is(err, context.Canceled)
+}
+
+// stripHopByHop removes the hop-by-hop headers and Content-Length.
+func stripHopByHop(h http.Header) {
+	for _, value := range h.Values("Connection") {
+		for _, name := range splitList(value) {
+			h.Del(name)
+		}
+	}
+	for _, name := range []string{
+		"Connection", "Keep-Alive", "Proxy-Authenticate", "Proxy-Authorization", "Proxy-Connection",
+		"Te", "Trailer", "Transfer-Encoding", "Upgrade", "Content-Length",
+	} {
+		h.Del(name)
+	}
+}
--- /dev/null
+++ b/transport/ingress/rollout.go
@@ -0,0 +1,84 @@
+// Copyright 2026 The ryehill Authors
+// SPDX-License-Identifier: Apache-2.0
+
+package ingress
+
+import (
+	"github.com/ryehill/ryehill/coordination/placement"
+	"github.com/ryehill/ryehill/coordination/retry"
+	"github.com/ryehill/ryehill/coordination/rollout"
+	"github.com/ryehill/ryehill/state/worker"
+)
+
+// Rollouts provides the services that have a rollout of a new version in progress. It
+// must be safe for concurrent use.
+type Rollouts interface {
+	// Share returns this VM's share of the rollout, or nil if there is none.
+	Share(service string) *rollout.Splitter
+}
+
+// noRollouts is the default Rollouts of a Handler.
+type noRollouts struct{}
+
+func (noRollouts) Share(string) *rollout.Splitter { return nil }
+
+// place chooses a worker for the next attempt. If the new version has no capacity, it
+// falls back to the stable version, if the rollout allows that.
+func (q *request) place(s *placement.Snapshot, retrying bool) (placement.Choice, placement.Refusal) {
+	if q.share != nil {
+		q.track = q.share.ChooseTrack(q.route.Name, q.key, retrying)
+	}
+	choice, refusal := q.handler.cfg.Placer.Place(s, q.placementRequest())
+	if refusal == placement.RefusalNone || q.track == worker.TrackStable {
+		return choice, refusal
+	}
+	if !q.share.WithdrawChoice() {
+		return choice, refusal
+	}
+	q.track = worker.TrackStable
+	return q.handler.cfg.Placer.Place(s, q.placementRequest())
+}
+
+// withdrawChoice returns an unused choice of the new version to the rollout.
+func (q *request) withdrawChoice() {
+	if q.track != worker.TrackStable {
+		q.share.WithdrawChoice()
+	}
+}
+
+// rolloutAttempt counts an attempt for the comparison of the two versions.
+type rolloutAttempt struct {
+	rolloutTry *rollout.Attempt
+	// cold is set if the worker has just started, which makes any version slow.
+	cold bool
+}
+
+// startRolloutAttempt counts the start of an attempt at a worker. The result does
+// nothing if no rollout is in progress.
+func (q *request) startRolloutAttempt(c placement.Choice) rolloutAttempt {
+	if q.share == nil {
+		return rolloutAttempt{}
+	}
+	w, considered := c.Worker(), c.Considered()
+	cold := len(considered) > 0 && considered[len(considered)-1].Cold
+	return rolloutAttempt{rolloutTry: q.share.RecordSent(q.track, q.route.Name, w.Incarnation(), q.key), cold: cold}
+}
+
+// answered counts a complete response.
+func (t rolloutAttempt) answered(status int) {
+	if t.rolloutTry == nil {
+		return
+	}
+	failed := countsAgainstWorker(status)
+	t.rolloutTry.RecordEnd(failed || !t.cold, failed)
+}
+
+// failed counts an attempt without a response. Only what the worker may be to blame
+// for counts: timeouts as slow responses, other interrupted requests as failures.
+func (t rolloutAttempt) failed(f *failure) {
+	if t.rolloutTry == nil {
+		return
+	}
+	counts := f.cause == retry.CauseBroken && !f.notRun && !f.clientGone
+	t.rolloutTry.RecordEnd(counts, !timedOut(f.err))
+}
