--- a/internal/gateway/fake_test.go
+++ b/internal/gateway/fake_test.go
@@ -423,7 +423,7 @@
 	if res.Header.Get("Not-Run") != "" {
 		return upstream.KindShed, true
 	}
-	return upstream.KindOther, res.StatusCode == http.StatusMisdirectedRequest
+	return upstream.KindWrongWorker, res.StatusCode == http.StatusMisdirectedRequest
 }
 func (dialect) Belongs(_ *upstream.Request, _ *http.Response) bool { return true }
 func (dialect) WithoutLength() bool                                { return true }
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -145,7 +145,7 @@
 		VM: g.vm(), Start: g.self.Start,
 	}})
 	g.upstreams = upstream.New(upstream.Config{
-		DialTimeout: workerDial, IdleFor: workerIdle, OnceIdle: onceIdle, Unanswered: workerUnanswered, Dialect: cfg.Dialect, Now: clock.Now,
+		DialTimeout: workerDial, IdleTimeout: workerIdle, AtMostOnceMaxIdle: onceIdle, TCPUserTimeout: workerUnanswered, Dialect: cfg.Dialect, Now: clock.Now,
 	})
 	g.peers = peer.New(peer.Config{Self: g.self, Handler: g.handlePeer, Log: g.log, Allow: g.allowPeer, Dial: cfg.Dial})
 	cold := placement.NewColdLimiter(placement.ColdLimiterConfig{VM: cfg.VM, Region: g.region(), Peers: g, Now: clock.Now})
@@ -159,13 +159,13 @@
 	g.quotas = newQuotas(g)
 	g.ingress = ingress.New(ingress.Config{
 		Snapshot: g.snapshot.Load, Upstreams: g.upstreams, Dialect: cfg.Dialect, Metrics: cfg.Metrics, Log: g.log,
-		Placer: g.placer,
-		Demand: g.balancer.meter,
-		Meters: g.meters,
-		VMs:    func() int { return g.members.Len() + 1 },
-		VM:     cfg.VM, Decisions: g.decisions, Age: g.age, Limiter: g, Keys: g, Quarantine: g.quarantines, Rollouts: g.rollouts, Now: clock.Now,
-		LeaveWithin: g.leaveWithin(),
-		Retry:       retry.Config{Ratio: share.PPM(cfg.Bounds.RetryRatio * retryPart * float64(share.Whole)), Burst: retryBurst},
+		Placer:     g.placer,
+		Demand:     g.balancer.meter,
+		HallMeters: g.meters,
+		VMCount:    func() int { return g.members.Len() + 1 },
+		VM:         cfg.VM, Decisions: g.decisions, StateAge: g.age, Limiter: g, Keys: g, Quarantine: g.quarantines, Rollouts: g.rollouts, Now: clock.Now,
+		LeavingGrace: g.leaveWithin(),
+		Retry:        retry.Config{Ratio: share.PPM(cfg.Bounds.RetryRatio * retryPart * float64(share.Whole)), Burst: retryBurst},
 	})
 	if err := g.listen(); err != nil {
 		g.closeListeners()
@@ -335,4 +335,4 @@
 
 // Ready reports whether this VM serves clients. One that has to refuse every request
 // with an API key does not.
-func (g *Gateway) Ready() bool { return g.life.Current() == phaseServing && g.Certain() }
+func (g *Gateway) Ready() bool { return g.life.Current() == phaseServing && g.RevocationsCurrent() }
--- a/internal/gateway/keys.go
+++ b/internal/gateway/keys.go
@@ -75,9 +75,9 @@
 	clear(k.bad)
 }
 
-// Renew implements ingress.Keys. The question goes to the VM that this one asks for
+// RefreshKeys implements ingress.Keys. The question goes to the VM that this one asks for
 // news, and costs the store nothing.
-func (g *Gateway) Renew(ctx context.Context, key workspace.Digest) {
+func (g *Gateway) RefreshKeys(ctx context.Context, key workspace.Digest) {
 	answered, ask := g.keyQuestions.begin(key, clock.Now())
 	if answered == nil {
 		return
@@ -110,13 +110,13 @@
 	g.awaitCompiled()
 }
 
-// Certain implements ingress.Keys.
-func (g *Gateway) Certain() bool {
+// RevocationsCurrent implements ingress.Keys.
+func (g *Gateway) RevocationsCurrent() bool {
 	return !g.cfg.Bounds.StrictRevocation || g.configAge() < g.cfg.Bounds.RevokeWithin-revokeMargin
 }
 
-// Current implements ingress.Keys.
-func (g *Gateway) Current() bool { return g.configAge() < g.cfg.Bounds.ApplyWithin }
+// AdditionsCurrent implements ingress.Keys.
+func (g *Gateway) AdditionsCurrent() bool { return g.configAge() < g.cfg.Bounds.ApplyWithin }
 
 // configAge returns how long ago the store last confirmed the configuration.
 func (g *Gateway) configAge() time.Duration {
--- a/internal/gateway/quota.go
+++ b/internal/gateway/quota.go
@@ -85,28 +85,28 @@
 	}
 }
 
-// Take implements ingress.Limiter.
-func (g *Gateway) Take(ctx context.Context, w *workspace.Workspace) ingress.Admission {
+// Admit implements ingress.Limiter.
+func (g *Gateway) Admit(ctx context.Context, w *workspace.Workspace) ingress.Admission {
 	limit := w.Limit()
 	if limit.Unlimited() {
-		return ingress.Admission{Verdict: ingress.AdmissionPassed}
+		return ingress.Admission{Verdict: ingress.AdmissionAllowed}
 	}
 	vms := g.listedVMs()
 	if vms == 0 {
-		return ingress.Admission{Verdict: ingress.AdmissionUnknown}
+		return ingress.Admission{Verdict: ingress.AdmissionQuotaUnknown}
 	}
 	if g.quotas.own.TakeToken(w.Name(), limit) {
-		return ingress.Admission{Verdict: ingress.AdmissionPassed, Refund: func() { g.quotas.own.Refund(w.Name()) }}
+		return ingress.Admission{Verdict: ingress.AdmissionAllowed, Refund: func() { g.quotas.own.Refund(w.Name()) }}
 	}
 	wait, ok := g.quotas.borrower.TakeToken(ctx, w.Name())
 	if ok {
-		return ingress.Admission{Verdict: ingress.AdmissionPassed}
+		return ingress.Admission{Verdict: ingress.AdmissionAllowed}
 	}
 	pool, lent := g.quotas.lender.CurrentPool()
 	why := fmt.Sprintf("limit %.0f a second and %.0f at once, divided among %d VMs; own part used up, nothing left at the pool %s (it has this VM's part: %t)",
 		limit.Rate, limit.Burst, vms, pool, lent)
 	return ingress.Admission{
-		Verdict: ingress.AdmissionOver, After: max(wait, leastBack) + time.Duration(rand.Float64()*quotaSpread*float64(wait)), Why: why,
+		Verdict: ingress.AdmissionOverQuota, RetryAfter: max(wait, leastBack) + time.Duration(rand.Float64()*quotaSpread*float64(wait)), Reason: why,
 	}
 }
 
--- a/transport/ingress/attempt.go
+++ b/transport/ingress/attempt.go
@@ -89,7 +89,7 @@
 // first.
 func (q *request) countRefusal(c placement.Choice) {
 	if considered := c.Considered(); len(considered) > 0 {
-		meter := q.handler.cfg.Meters.Meter(considered[0].Hall)
+		meter := q.handler.cfg.HallMeters.Meter(considered[0].Hall)
 		meter.Begin(q.service)
 		meter.End(q.service, load.RequestResult{Refused: true})
 	}
@@ -119,7 +119,7 @@
 	q.keyNewToWorker = q.keyed && !q.handler.losses.markSent(w.Incarnation(), q.key)
 	workerLoad := c.Load()
 	defer workerLoad.End()
-	meter := q.handler.cfg.Meters.Meter(w.Hall)
+	meter := q.handler.cfg.HallMeters.Meter(w.Hall)
 	meter.Begin(w.Service)
 	defer func() {
 		meter.End(w.Service, load.RequestResult{Moved: c.Moved(), Bytes: max(q.body.length, 0) + q.responseBytes})
@@ -141,10 +141,10 @@
 	}
 	defer res.Close()
 	q.workerQueue = q.readSignals(c, res.Status(), res.Header())
-	if res.Renewed() {
+	if res.Reconnected() {
 		workerLoad.RecordAllConnectionsClosed()
 	}
-	workerLoad.ConfirmAlive(res.Opened())
+	workerLoad.ConfirmAlive(res.ConnectionOpened())
 	workerLoad.RecordOutcome(countsAgainstWorker(res.Status()))
 	q.reportAnswered(res.Status())
 	q.handler.cfg.Demand.RecordLatency(w.Service, q.elapsed(q.sentAt))
@@ -205,9 +205,9 @@
 	service, _ := s.Routes.Service(w.Service)
 	connections := 0
 	if service.MaxConnections > 0 {
-		connections = max(service.MaxConnections/q.handler.cfg.VMs(), 2)
+		connections = max(service.MaxConnections/q.handler.cfg.VMCount(), 2)
 	}
-	return upstream.Worker{ID: w.ID, Start: w.Start, Address: w.Address, Connections: connections}
+	return upstream.Worker{ID: w.ID, Start: w.Start, Address: w.Address, MaxConnections: connections}
 }
 
 func (q *request) upstreamRequest(workerID string) *upstream.Request {
@@ -220,7 +220,7 @@
 	q.handler.cfg.Dialect.Address(header, workerID, q.remaining())
 	return &upstream.Request{
 		Method: q.req.Method, Target: q.req.RequestURI, Host: q.req.Host, Header: header,
-		Body: q.body.reader(), Length: q.body.length, Once: !q.route.Repeatable,
+		Body: q.body.reader(), Length: q.body.length, AtMostOnce: !q.route.Repeatable,
 	}
 }
 
@@ -233,7 +233,7 @@
 	}
 	f.notRun = failed.NotRun()
 	f.unsent = failed.Kind() == upstream.KindUnreachable || failed.Kind() == upstream.KindBusy
-	if failed.Kind() != upstream.KindOther { // Otherwise the header is from a different worker.
+	if failed.Kind() != upstream.KindWrongWorker { // Otherwise the header is from a different worker.
 		q.readSignals(c, failed.Status(), failed.Header())
 	}
 	clientGone := q.req.Context().Err() != nil
@@ -253,7 +253,7 @@
 		if errors.Is(err, syscall.ECONNREFUSED) {
 			c.Load().RecordConnectionRefused()
 		}
-	case upstream.KindOther:
+	case upstream.KindWrongWorker:
 		f.cause = retry.CauseUnreachable
 		c.Load().MarkAddressReused()
 	case upstream.KindBroken:
@@ -261,12 +261,12 @@
 			c.Load().RecordFailure()
 			c.Load().RecordOutcome(!timedOut(err))
 		}
-		if !clientGone && failed.HungUp() {
+		if !clientGone && failed.PeerClosed() {
 			f.peerClosed = true
 			c.Load().RecordConnectionClosed()
 			q.reportHangUp(c)
 		}
-	case upstream.KindBody:
+	case upstream.KindRequestBody:
 	}
 	return f
 }
--- a/transport/ingress/authenticate.go
+++ b/transport/ingress/authenticate.go
@@ -29,19 +29,19 @@
 
 // Values of AdmissionVerdict.
 const (
-	AdmissionPassed AdmissionVerdict = iota
-	// AdmissionOver means that the quota of the workspace is exhausted.
-	AdmissionOver
-	// AdmissionUnknown means that the VM does not know its part of the quota yet.
-	AdmissionUnknown
+	AdmissionAllowed AdmissionVerdict = iota
+	// AdmissionOverQuota means that the quota of the workspace is exhausted.
+	AdmissionOverQuota
+	// AdmissionQuotaUnknown means that the VM does not know its part of the quota yet.
+	AdmissionQuotaUnknown
 )
 
 // Admission is the result of a quota check.
 type Admission struct {
 	Verdict AdmissionVerdict
-	// After is the time until the quota may admit a request again. Reason explains the verdict.
-	After time.Duration
-	Why   string
+	// RetryAfter is the time until the quota may admit a request again. Reason explains the verdict.
+	RetryAfter time.Duration
+	Reason     string
 	// Refund returns the request to the quota if no worker has run it. It is nil
 	// if there is nothing to return, as for quota granted by other VMs.
 	Refund func()
@@ -50,31 +50,31 @@
 // Limiter enforces the request quota of each workspace across all VMs. It must be
 // safe for concurrent use.
 type Limiter interface {
-	// Take counts a request against the quota of a workspace, or returns why it is
+	// Admit counts a request against the quota of a workspace, or returns why it is
 	// not admitted. It may call another VM, but returns soon.
-	Take(ctx context.Context, w *workspace.Workspace) Admission
+	Admit(ctx context.Context, w *workspace.Workspace) Admission
 }
 
 // Keys reports how current this VM's knowledge of API keys is.
 type Keys interface {
-	// Renew returns once the known keys are newer than the call, or after a short
+	// RefreshKeys returns once the known keys are newer than the call, or after a short
 	// timeout. The calls it makes to others are bounded, however many requests
 	// have unknown keys.
-	Renew(ctx context.Context, key workspace.Digest)
-	// Certain reports whether revoked keys are known as revoked in time. While
+	RefreshKeys(ctx context.Context, key workspace.Digest)
+	// RevocationsCurrent reports whether revoked keys are known as revoked in time. While
 	// it returns false, requests that need a key are refused.
-	Certain() bool
-	// Current reports whether newly issued keys are known in time.
-	Current() bool
+	RevocationsCurrent() bool
+	// AdditionsCurrent reports whether newly issued keys are known in time.
+	AdditionsCurrent() bool
 }
 
 // unrestricted is the default Limiter and Keys of a Handler.
 type unrestricted struct{}
 
-func (unrestricted) Take(context.Context, *workspace.Workspace) Admission { return Admission{} }
-func (unrestricted) Renew(context.Context, workspace.Digest)              {}
-func (unrestricted) Certain() bool                                        { return true }
-func (unrestricted) Current() bool                                        { return true }
+func (unrestricted) Admit(context.Context, *workspace.Workspace) Admission { return Admission{} }
+func (unrestricted) RefreshKeys(context.Context, workspace.Digest)         {}
+func (unrestricted) RevocationsCurrent() bool                              { return true }
+func (unrestricted) AdditionsCurrent() bool                                { return true }
 
 // authenticate finds the workspace of a request by its API key, and responds to the
 // request if it may not be served. Only a short digest of the key is recorded.
@@ -95,7 +95,7 @@
 	digest := workspace.DigestOf(key)
 	found, ok := directory.FindByKey(digest)
 	if !ok && !q.route.Public {
-		q.handler.cfg.Keys.Renew(q.req.Context(), digest)
+		q.handler.cfg.Keys.RefreshKeys(q.req.Context(), digest)
 		found, ok = q.handler.cfg.Snapshot().Routes.Workspaces().FindByKey(digest)
 	}
 	q.addInput("key", digest.String())
@@ -112,7 +112,7 @@
 	switch {
 	case q.route.Public:
 		return true
-	case !q.handler.cfg.Keys.Certain(), !known && !q.handler.cfg.Keys.Current():
+	case !q.handler.cfg.Keys.RevocationsCurrent(), !known && !q.handler.cfg.Keys.AdditionsCurrent():
 		q.refuse(reasonKeysStale)
 		return false
 	case !known:
@@ -127,25 +127,25 @@
 	if q.workspace == nil {
 		return true
 	}
-	q.admission = q.handler.cfg.Limiter.Take(q.req.Context(), q.workspace)
+	q.admission = q.handler.cfg.Limiter.Admit(q.req.Context(), q.workspace)
 	switch q.admission.Verdict {
-	case AdmissionOver:
+	case AdmissionOverQuota:
 		q.rejectOverQuota()
 		return false
-	case AdmissionUnknown:
+	case AdmissionQuotaUnknown:
 		q.refuse(reasonQuotaUnknown)
 		return false
-	case AdmissionPassed:
+	case AdmissionAllowed:
 	}
 	return true
 }
 
 // rejectOverQuota responds with 429 and Retry-After.
 func (q *request) rejectOverQuota() {
-	q.addInput("quota", q.admission.Why)
+	q.addInput("quota", q.admission.Reason)
 	q.handler.cfg.Metrics.Refused(reasonOverQuota)
 	q.recordOutcome(reasonOverQuota, http.StatusTooManyRequests)
-	q.writer.Header().Set("Retry-After", strconv.FormatFloat(q.admission.After.Seconds(), 'f', 3, 64))
+	q.writer.Header().Set("Retry-After", strconv.FormatFloat(q.admission.RetryAfter.Seconds(), 'f', 3, 64))
 	q.writeStatus(http.StatusTooManyRequests)
 }
 
--- a/transport/ingress/authenticate_test.go
+++ b/transport/ingress/authenticate_test.go
@@ -26,7 +26,7 @@
 	onRefresh                            func()
 }
 
-func (k *fakeKeys) Renew(context.Context, workspace.Digest) {
+func (k *fakeKeys) RefreshKeys(context.Context, workspace.Digest) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.refreshCount++
@@ -35,13 +35,13 @@
 	}
 }
 
-func (k *fakeKeys) Certain() bool {
+func (k *fakeKeys) RevocationsCurrent() bool {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return !k.revocationsUnknown
 }
 
-func (k *fakeKeys) Current() bool {
+func (k *fakeKeys) AdditionsCurrent() bool {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return !k.additionsUnknown
@@ -53,11 +53,11 @@
 	left, refunded int
 }
 
-func (l *fakeLimiter) Take(context.Context, *workspace.Workspace) ingress.Admission {
+func (l *fakeLimiter) Admit(context.Context, *workspace.Workspace) ingress.Admission {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.left == 0 {
-		return ingress.Admission{Verdict: ingress.AdmissionOver, After: 1500 * time.Millisecond, Why: "7 in 5 s of 6"}
+		return ingress.Admission{Verdict: ingress.AdmissionOverQuota, RetryAfter: 1500 * time.Millisecond, Reason: "7 in 5 s of 6"}
 	}
 	l.left--
 	return ingress.Admission{Refund: l.refund}
--- a/transport/ingress/ingress.go
+++ b/transport/ingress/ingress.go
@@ -84,15 +84,15 @@
 	Metrics   *metrics.Set
 	Log       logr.Logger
 	Decisions *Decisions
-	// Age returns the age of the known workers and configuration. If it is nil,
+	// StateAge returns the age of the known workers and configuration. If it is nil,
 	// decision records omit the age.
-	Age func() time.Duration
+	StateAge func() time.Duration
 	// Demand records the response times of workers. Nil disables it.
 	Demand *demand.Meter
-	// Meters count the traffic to the workers of each hall. Nil disables them.
-	Meters *load.HallMeters
-	// VMs returns the number by which the connection limit of a service is divided; at least 1.
-	VMs func() int
+	// HallMeters count the traffic to the workers of each hall. Nil disables them.
+	HallMeters *load.HallMeters
+	// VMCount returns the number by which the connection limit of a service is divided; at least 1.
+	VMCount func() int
 	// Retry configures the retry budget of each service.
 	Retry retry.Config
 	// Limiter enforces the quotas of workspaces. Nil means no quotas.
@@ -103,9 +103,9 @@
 	Quarantine Quarantine
 	// Rollouts divides requests between the versions of a service. Nil means one version.
 	Rollouts Rollouts
-	// LeaveWithin is how long a worker may still get requests after it has declared
+	// LeavingGrace is how long a worker may still get requests after it has declared
 	// that it is leaving. Default 0: it gets none.
-	LeaveWithin time.Duration
+	LeavingGrace time.Duration
 	// Now returns the time, which should include suspensions of the machine. Default time.Now.
 	Now func() time.Time
 }
@@ -128,8 +128,8 @@
 	if cfg.Now == nil {
 		cfg.Now = time.Now //nolint:forbidigo // Default for embedders.
 	}
-	if cfg.Meters == nil {
-		cfg.Meters = load.NewHallMeters(cfg.Now)
+	if cfg.HallMeters == nil {
+		cfg.HallMeters = load.NewHallMeters(cfg.Now)
 	}
 	if cfg.Demand == nil {
 		cfg.Demand = demand.NewMeter("")
--- a/transport/ingress/ingress_test.go
+++ b/transport/ingress/ingress_test.go
@@ -70,7 +70,7 @@
 
 func (plainDialect) Refused(res *http.Response) (upstream.Kind, bool) {
 	if res.StatusCode == http.StatusMisdirectedRequest {
-		return upstream.KindOther, true
+		return upstream.KindWrongWorker, true
 	}
 	return upstream.KindShed, res.Header.Get("Not-Run") != ""
 }
@@ -154,7 +154,7 @@
 		},
 		Placer:    placement.New(placement.Config{Region: "here", Loads: f.loads, ColdLimiter: cold, Now: time.Now}),
 		Upstreams: client, Dialect: plainDialect{}, Metrics: metrics.New(), Log: logr.Discard(), Decisions: f.decisions,
-		VMs: func() int { return 1 }, Retry: retry.Config{Burst: 100}, Limiter: f.limiter, Keys: f.keys,
+		VMCount: func() int { return 1 }, Retry: retry.Config{Burst: 100}, Limiter: f.limiter, Keys: f.keys,
 	})
 	f.server = httptest.NewServer(f.handler)
 	t.Cleanup(func() {
--- a/transport/ingress/records.go
+++ b/transport/ingress/records.go
@@ -102,7 +102,7 @@
 	if q.route != nil {
 		q.addInput("route", q.route.Name+" to "+q.service)
 	}
-	if age := q.handler.cfg.Age; age != nil {
+	if age := q.handler.cfg.StateAge; age != nil {
 		q.record.Inputs = append(q.record.Inputs, decision.Input{Name: "workers and configuration", Value: "as the store had them", Age: age()})
 	}
 	late := took >= q.objective()
--- a/transport/ingress/response.go
+++ b/transport/ingress/response.go
@@ -48,7 +48,7 @@
 )
 
 // forwardResponse copies a response to the client.
-func (q *request) forwardResponse(res *upstream.Answer) error {
+func (q *request) forwardResponse(res *upstream.Response) error {
 	var buffered bytes.Buffer
 	n, err := io.Copy(&buffered, io.LimitReader(res.Body(), maxBufferedResponse))
 	if err != nil {
--- a/transport/ingress/signals.go
+++ b/transport/ingress/signals.go
@@ -26,7 +26,7 @@
 	}
 	if cfg.Dialect.Leaving(header) {
 		now := cfg.Now()
-		q.applySignal(c, worker.Leaving{DrainWindow: worker.DrainWindow{ObservedAt: now, Until: now.Add(cfg.LeaveWithin)}, From: worker.FromResponse})
+		q.applySignal(c, worker.Leaving{DrainWindow: worker.DrainWindow{ObservedAt: now, Until: now.Add(cfg.LeavingGrace)}, From: worker.FromResponse})
 	}
 	if pause, asked := cfg.Dialect.Rest(status, header); asked {
 		q.applySignal(c, worker.Rest{For: pause})
--- a/transport/relay/local.go
+++ b/transport/relay/local.go
@@ -78,7 +78,7 @@
 	header.Set(upstream.HeaderTimeout, strconv.FormatInt(max(left.Milliseconds(), 1), 10))
 	return &upstream.Request{
 		Method: r.Method, Target: r.Target, Host: r.Host, Header: header,
-		Body: r.Body.Reader(), Length: r.Body.length, HeadBy: max(left, time.Millisecond), Once: r.once,
+		Body: r.Body.Reader(), Length: r.Body.length, ResponseHeaderTimeout: max(left, time.Millisecond), AtMostOnce: r.once,
 	}
 }
 
@@ -87,7 +87,7 @@
 	w := slot.Worker()
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	answer, err := e.cfg.Upstreams.Do(ctx, upstream.Worker{ID: w.ID, Address: w.Address, Connections: w.Connections}, req)
+	answer, err := e.cfg.Upstreams.Do(ctx, upstream.Worker{ID: w.ID, Address: w.Address, MaxConnections: w.Connections}, req)
 	if err != nil {
 		return e.upstreamFailed(slot, err)
 	}
@@ -146,7 +146,7 @@
 
 func classify(k upstream.Kind) (retry.Cause, outcome.Code, capacity.Result) {
 	switch k {
-	case upstream.KindUnreachable, upstream.KindOther:
+	case upstream.KindUnreachable, upstream.KindWrongWorker:
 		return retry.CauseUnreachable, outcome.CodeNoUpstream, capacity.ResultUnreachable
 	case upstream.KindBusy:
 		return retry.CauseShed, outcome.CodeFull, capacity.ResultUnused
@@ -154,7 +154,7 @@
 		return retry.CauseShed, outcome.CodeFull, capacity.ResultShed
 	case upstream.KindLeaving:
 		return retry.CauseLeaving, outcome.CodeNoUpstream, capacity.ResultLeaving
-	case upstream.KindBody, upstream.KindBroken:
+	case upstream.KindRequestBody, upstream.KindBroken:
 		return retry.CauseBroken, outcome.CodeBroken, capacity.ResultBroken
 	}
 	return retry.CauseBroken, outcome.CodeBroken, capacity.ResultBroken
--- a/transport/relay/serve.go
+++ b/transport/relay/serve.go
@@ -170,7 +170,7 @@
 	header.Set(upstream.HeaderTimeout, strconv.FormatInt(left.Milliseconds(), 10))
 	req := &upstream.Request{
 		Method: r.Method, Target: r.Target, Host: r.Host, Header: header,
-		Length: open.GetLength(), HeadBy: left, Once: r.once,
+		Length: open.GetLength(), ResponseHeaderTimeout: left, AtMostOnce: r.once,
 	}
 	if open.GetLength() != 0 {
 		req.Body = body
--- a/transport/upstream/cancel_test.go
+++ b/transport/upstream/cancel_test.go
@@ -25,7 +25,7 @@
 		t.Fatal(err)
 	}
 	defer listener.Close()
-	client := upstream.New(upstream.Config{Progress: 2 * time.Second})
+	client := upstream.New(upstream.Config{ProgressTimeout: 2 * time.Second})
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan error, 1)
 	go func() {
--- a/transport/upstream/client.go
+++ b/transport/upstream/client.go
@@ -63,10 +63,10 @@
 	KindLeaving
 	// KindBroken means that the exchange was interrupted or timed out.
 	KindBroken
-	// KindBody means that reading the request body from the caller failed.
-	KindBody
-	// KindOther means that a different worker now serves at the address.
-	KindOther
+	// KindRequestBody means that reading the request body from the caller failed.
+	KindRequestBody
+	// KindWrongWorker means that a different worker now serves at the address.
+	KindWrongWorker
 )
 
 // String returns the name of the kind as used in metrics.
@@ -97,14 +97,14 @@
 // byte of it was written to the connection, or the upstream declared so.
 func (e *Error) NotRun() bool { return e.notRun }
 
-// HungUp reports whether the upstream closed or reset the connection after part
+// PeerClosed reports whether the upstream closed or reset the connection after part
 // of the request was written and before it sent a response header, as happens
 // when its process exits.
-func (e *Error) HungUp() bool { return e.peerClosed }
+func (e *Error) PeerClosed() bool { return e.peerClosed }
 
-// Renewed reports whether a new connection was opened because the upstream had
+// Reconnected reports whether a new connection was opened because the upstream had
 // closed every idle connection that could have been reused.
-func (e *Error) Renewed() bool { return e.reconnected }
+func (e *Error) Reconnected() bool { return e.reconnected }
 
 // Header returns the response header of a refusal by the upstream, or nil.
 func (e *Error) Header() http.Header { return e.header }
@@ -135,30 +135,30 @@
 	// unknown.
 	Start   uint64
 	Address string
-	// Connections limits the open connections to the worker; 0 means no limit.
-	Connections int
+	// MaxConnections limits the open connections to the worker; 0 means no limit.
+	MaxConnections int
 }
 
 // Config configures a Client. The zero value is ready to use.
 type Config struct {
 	// Dial opens connections. Default: a net.Dialer.
 	Dial func(ctx context.Context, address string) (net.Conn, error)
-	// Progress limits each write of a request and each read of a response
+	// ProgressTimeout limits each write of a request and each read of a response
 	// body. Default 30 s.
-	Progress time.Duration
-	// IdleFor is how long an idle connection is kept. Default 30 s. A shorter
+	ProgressTimeout time.Duration
+	// IdleTimeout is how long an idle connection is kept. Default 30 s. A shorter
 	// Keep-Alive timeout of the upstream takes precedence.
-	IdleFor time.Duration
-	// OnceIdle is how long a connection may have been idle to be reused for
+	IdleTimeout time.Duration
+	// AtMostOnceMaxIdle is how long a connection may have been idle to be reused for
 	// an at-most-once request. Default 0: such a request always uses a new
 	// connection.
-	OnceIdle time.Duration
+	AtMostOnceMaxIdle time.Duration
 	// DialTimeout limits the time to establish a connection. Default 2 s.
 	DialTimeout time.Duration
-	// Unanswered is how long sent data may stay unacknowledged at TCP level
+	// TCPUserTimeout is how long sent data may stay unacknowledged at TCP level
 	// before the connection is closed, for example because the remote machine
 	// is gone. Default 0: the limit of the operating system, which is minutes.
-	Unanswered time.Duration
+	TCPUserTimeout time.Duration
 	// Now returns the time by which idle connections expire. It should include
 	// the time that the machine was suspended. Default time.Now.
 	Now func() time.Time
@@ -233,16 +233,16 @@
 		cfg.DialTimeout = defaultDialTimeout
 	}
 	if cfg.Dial == nil {
-		d := &net.Dialer{Timeout: cfg.DialTimeout, Control: userTimeoutControl(cfg.Unanswered)}
+		d := &net.Dialer{Timeout: cfg.DialTimeout, Control: userTimeoutControl(cfg.TCPUserTimeout)}
 		cfg.Dial = func(ctx context.Context, address string) (net.Conn, error) {
 			return d.DialContext(ctx, "tcp", address)
 		}
 	}
-	if cfg.Progress <= 0 {
-		cfg.Progress = defaultProgressTimeout
+	if cfg.ProgressTimeout <= 0 {
+		cfg.ProgressTimeout = defaultProgressTimeout
 	}
-	if cfg.IdleFor <= 0 {
-		cfg.IdleFor = defaultIdleTimeout
+	if cfg.IdleTimeout <= 0 {
+		cfg.IdleTimeout = defaultIdleTimeout
 	}
 	if cfg.Now == nil {
 		cfg.Now = time.Now
@@ -284,9 +284,9 @@
 func (c *Client) connect(ctx context.Context, w Worker, atMostOnce bool) (*conn, error) {
 	p := c.pool(w.Address)
 	p.closeOlderThan(w.Start)
-	idleLimit := c.cfg.IdleFor
+	idleLimit := c.cfg.IdleTimeout
 	if atMostOnce {
-		idleLimit = min(idleLimit, c.cfg.OnceIdle)
+		idleLimit = min(idleLimit, c.cfg.AtMostOnceMaxIdle)
 	}
 	foundClosed := false
 	for {
@@ -300,7 +300,7 @@
 		idle.close()
 		foundClosed = true
 	}
-	if !p.reserve(w.Connections) {
+	if !p.reserve(w.MaxConnections) {
 		return nil, &Error{kind: KindBusy, notRun: true, step: "connect", worker: w.ID}
 	}
 	ctx, cancel := context.WithTimeout(ctx, c.cfg.DialTimeout)
@@ -310,7 +310,7 @@
 		p.release()
 		return nil, &Error{kind: KindUnreachable, notRun: true, step: "connect", worker: w.ID, cause: err}
 	}
-	created := newConn(raw, p, c.cfg.IdleFor)
+	created := newConn(raw, p, c.cfg.IdleTimeout)
 	created.processStart, created.reconnected, created.opened = w.Start, foundClosed, c.cfg.Now()
 	return created, nil
 }
--- a/transport/upstream/client_test.go
+++ b/transport/upstream/client_test.go
@@ -61,7 +61,7 @@
 		_ = l.Close()
 		wg.Wait()
 	})
-	return upstream.Worker{ID: "w", Address: l.Addr().String(), Connections: 4}, &requests
+	return upstream.Worker{ID: "w", Address: l.Addr().String(), MaxConnections: 4}, &requests
 }
 
 func writeResponse(conn net.Conn, body string) bool {
@@ -70,7 +70,7 @@
 }
 
 func newClient(t *testing.T) *upstream.Client {
-	c := upstream.New(upstream.Config{Progress: 2 * time.Second})
+	c := upstream.New(upstream.Config{ProgressTimeout: 2 * time.Second})
 	t.Cleanup(c.CloseIdle)
 	return c
 }
@@ -80,7 +80,7 @@
 	if req.Method == "" {
 		req.Method = http.MethodGet
 	}
-	req.HeadBy = 2 * time.Second
+	req.ResponseHeaderTimeout = 2 * time.Second
 	res, err := c.Do(context.Background(), w, &req)
 	if err != nil {
 		return "", err
@@ -121,7 +121,7 @@
 	w, _ := startWorker(t, func(n int, _ *http.Request, conn net.Conn) bool { return n == 1 && writeResponse(conn, "ok") })
 	c := newClient(t)
 	for range 3 {
-		if body, err := do(c, w, upstream.Request{Method: http.MethodPost, Once: true}); body != "ok" || err != nil {
+		if body, err := do(c, w, upstream.Request{Method: http.MethodPost, AtMostOnce: true}); body != "ok" || err != nil {
 			t.Fatal(body, err)
 		}
 	}
@@ -214,12 +214,12 @@
 	body := io.MultiReader(strings.NewReader("part"), errorReader{})
 	_, err := do(newClient(t), w, upstream.Request{Method: http.MethodPut, Body: body, Length: 100_000})
 	var u *upstream.Error
-	if !errors.As(err, &u) || u.Kind() != upstream.KindBody || u.NotRun() {
+	if !errors.As(err, &u) || u.Kind() != upstream.KindRequestBody || u.NotRun() {
 		t.Fatal(err)
 	}
 	// The body fails before the buffered header is flushed, so nothing was sent.
 	_, err = do(newClient(t), w, upstream.Request{Method: http.MethodPut, Body: errorReader{}, Length: 100})
-	if !errors.As(err, &u) || u.Kind() != upstream.KindBody || !u.NotRun() {
+	if !errors.As(err, &u) || u.Kind() != upstream.KindRequestBody || !u.NotRun() {
 		t.Fatal(err)
 	}
 }
--- a/transport/upstream/dialect_test.go
+++ b/transport/upstream/dialect_test.go
@@ -20,7 +20,7 @@
 type numberedDialect struct{}
 
 func (numberedDialect) Refused(res *http.Response) (upstream.Kind, bool) {
-	return upstream.KindOther, res.StatusCode == http.StatusMisdirectedRequest
+	return upstream.KindWrongWorker, res.StatusCode == http.StatusMisdirectedRequest
 }
 
 func (numberedDialect) Belongs(req *upstream.Request, res *http.Response) bool {
@@ -30,7 +30,7 @@
 func (numberedDialect) WithoutLength() bool { return true }
 
 func newNumberedClient(t *testing.T, maxIdle time.Duration) *upstream.Client {
-	c := upstream.New(upstream.Config{Progress: 2 * time.Second, Dialect: numberedDialect{}, OnceIdle: maxIdle})
+	c := upstream.New(upstream.Config{ProgressTimeout: 2 * time.Second, Dialect: numberedDialect{}, AtMostOnceMaxIdle: maxIdle})
 	t.Cleanup(c.CloseIdle)
 	return c
 }
@@ -91,7 +91,7 @@
 	for n := range 3 {
 		_, err := do(c, w, numberedRequest(n))
 		var failed *upstream.Error
-		if !errors.As(err, &failed) || !failed.NotRun() || failed.Kind() != upstream.KindOther {
+		if !errors.As(err, &failed) || !failed.NotRun() || failed.Kind() != upstream.KindWrongWorker {
 			t.Fatalf("%v, want KindWrongWorker with NotRun", err)
 		}
 	}
@@ -166,7 +166,7 @@
 			}
 			time.Sleep(c.pause)
 			once := numberedRequest(2)
-			once.Once, once.Method = true, http.MethodPost
+			once.AtMostOnce, once.Method = true, http.MethodPost
 			if body, err := do(client, w, once); body != c.want || err != nil {
 				t.Errorf("request is number %q on its connection, want %q (%v)", body, c.want, err)
 			}
--- a/transport/upstream/exchange.go
+++ b/transport/upstream/exchange.go
@@ -29,15 +29,15 @@
 	Body io.Reader
 	// Length is the length of the body in bytes, or -1 if unknown.
 	Length int64
-	// HeadBy limits the time from the end of sending to the response header.
+	// ResponseHeaderTimeout limits the time from the end of sending to the response header.
 	// 0 means no limit.
-	HeadBy time.Duration
-	// Once is set for a request that must not be run more than once.
-	Once bool
+	ResponseHeaderTimeout time.Duration
+	// AtMostOnce is set for a request that must not be run more than once.
+	AtMostOnce bool
 }
 
-// Answer is the response of an upstream. Close must be called.
-type Answer struct {
+// Response is the response of an upstream. Close must be called.
+type Response struct {
 	reconnected bool
 	opened      time.Time
 	status      int
@@ -47,27 +47,27 @@
 }
 
 // Status returns the HTTP status.
-func (r *Answer) Status() int { return r.status }
+func (r *Response) Status() int { return r.status }
 
-// Renewed reports whether a new connection was opened because the upstream had
+// Reconnected reports whether a new connection was opened because the upstream had
 // closed every idle connection that could have been reused.
-func (r *Answer) Renewed() bool { return r.reconnected }
+func (r *Response) Reconnected() bool { return r.reconnected }
 
-// Opened returns when the connection of the exchange was opened.
-func (r *Answer) Opened() time.Time { return r.opened }
+// ConnectionOpened returns when the connection of the exchange was opened.
+func (r *Response) ConnectionOpened() time.Time { return r.opened }
 
 // Header returns the header fields.
-func (r *Answer) Header() http.Header { return r.header }
+func (r *Response) Header() http.Header { return r.header }
 
 // Length returns the length of the body in bytes, or -1 if unknown.
-func (r *Answer) Length() int64 { return r.length }
+func (r *Response) Length() int64 { return r.length }
 
 // Body returns the body. It ends with io.EOF only if it is complete.
-func (r *Answer) Body() io.Reader { return r.body }
+func (r *Response) Body() io.Reader { return r.body }
 
 // Close ends the exchange. The connection is reused only if the body was read to
 // its end and the request was sent completely.
-func (r *Answer) Close() { r.body.close() }
+func (r *Response) Close() { r.body.close() }
 
 // exchange is one request and its response on one connection.
 type exchange struct {
@@ -87,8 +87,8 @@
 // Do sends a request and returns the response once its header has been read.
 // Every error is an *Error. Canceling ctx at any time, even while the response
 // body is read, closes the connection, so that the upstream can stop its work.
-func (c *Client) Do(ctx context.Context, w Worker, req *Request) (*Answer, error) {
-	conn, err := c.connect(ctx, w, req.Once)
+func (c *Client) Do(ctx context.Context, w Worker, req *Request) (*Response, error) {
+	conn, err := c.connect(ctx, w, req.AtMostOnce)
 	if err != nil {
 		return nil, err
 	}
@@ -114,7 +114,7 @@
 	e := &Error{kind: KindBroken, reconnected: x.conn.reconnected, notRun: !x.writeStarted.Load(), step: "read head", worker: x.worker.ID, cause: err}
 	switch {
 	case x.bodyErr != nil:
-		e.kind, e.step, e.cause = KindBody, "read the caller's body", x.bodyErr
+		e.kind, e.step, e.cause = KindRequestBody, "read the caller's body", x.bodyErr
 	case ctx.Err() != nil:
 		e.cause = ctx.Err()
 	case x.sendErr != nil:
@@ -151,7 +151,7 @@
 	return &Error{kind: kind, notRun: true, step: "upstream's answer", worker: x.worker.ID, header: res.Header, status: res.StatusCode}
 }
 
-func (x *exchange) response(res *http.Response) (*Answer, error) {
+func (x *exchange) response(res *http.Response) (*Response, error) {
 	closeDelimited := res.ContentLength < 0 && len(res.TransferEncoding) == 0 && res.Body != http.NoBody
 	if closeDelimited && !x.client.cfg.Dialect.WithoutLength() {
 		x.release(false)
@@ -160,7 +160,7 @@
 	body := &responseBody{exchange: x, source: res.Body, reusable: !res.Close && !closeDelimited}
 	reconnected := x.conn.reconnected
 	x.conn.reconnected = false
-	return &Answer{reconnected: reconnected, opened: x.conn.opened, status: res.StatusCode, header: res.Header, length: res.ContentLength, body: body}, nil
+	return &Response{reconnected: reconnected, opened: x.conn.opened, status: res.StatusCode, header: res.Header, length: res.ContentLength, body: body}, nil
 }
 
 // readHead reads the final response header. It skips informational responses and,
@@ -257,8 +257,8 @@
 		_ = x.conn.raw.SetReadDeadline(time.Now().Add(time.Second))
 		return
 	}
-	if x.req.HeadBy > 0 && !x.stopped.Load() {
-		_ = x.conn.raw.SetReadDeadline(time.Now().Add(x.req.HeadBy))
+	if x.req.ResponseHeaderTimeout > 0 && !x.stopped.Load() {
+		_ = x.conn.raw.SetReadDeadline(time.Now().Add(x.req.ResponseHeaderTimeout))
 	}
 }
 
@@ -326,7 +326,7 @@
 	if w.x.stopped.Load() {
 		return 0, errClosed
 	}
-	_ = w.x.conn.raw.SetWriteDeadline(time.Now().Add(w.x.client.cfg.Progress))
+	_ = w.x.conn.raw.SetWriteDeadline(time.Now().Add(w.x.client.cfg.ProgressTimeout))
 	w.x.writeStarted.Store(true)
 	return w.x.conn.raw.Write(p)
 }
@@ -342,7 +342,7 @@
 
 // Read implements io.Reader.
 func (b *responseBody) Read(p []byte) (int, error) {
-	_ = b.exchange.conn.raw.SetReadDeadline(time.Now().Add(b.exchange.client.cfg.Progress))
+	_ = b.exchange.conn.raw.SetReadDeadline(time.Now().Add(b.exchange.client.cfg.ProgressTimeout))
 	n, err := b.source.Read(p)
 	switch {
 	case errors.Is(err, io.EOF):
