--- a/scripts/switch-off.sh
+++ b/scripts/switch-off.sh
@@ -108,7 +108,7 @@
 		return
 	}
 	for d.store.VMs().Version == 0 &&' ./internal/fleet TestUpstreamsHaveOneOwner
-off greeting-ends-the-pause transport/peer/stream.go 'm.greeted(id.VM)' '' ./transport/peer TestPeerThatGreets
+off greeting-ends-the-pause transport/peer/stream.go 'm.resetBackoff(id.VM)' '' ./transport/peer TestPeerThatGreets
 off answers-have-an-end internal/gateway/peers.go 's.SetWriteDeadline(time.Now().Add(answerTime(first)))' '_ = answerTime' ./internal/gateway TestPeersThatDoNotRead
 off loads-told-once internal/gateway/loads.go 'after = mark.GetNumber()' '' ./internal/gateway TestLoadsAreToldOnce
 off large-parts-bounded internal/gateway/copies.go 'if c.underWay >= largeAtOnce {' 'if false {' ./internal/gateway TestLargeParts
@@ -131,14 +131,14 @@
 off unknown-end transport/upstream/exchange.go 'if lengthless && !x.client' 'if false && !x.client' ./transport/upstream TestBrokenAnswers
 off broken-is-broken transport/entry/entry.go 'panic(http.ErrAbortHandler)
 	}
-	h.refuse' 'return
+	h.writeFailure' 'return
 	}
-	h.refuse' ./internal/program TestSessions/broken
+	h.writeFailure' ./internal/program TestSessions/broken
 off attempt-table state/attempt/attempt.go 'if c, ok := s.records[ticket.nonce]; ok {' 'if c, ok := s.records[ticket.nonce]; ok && false {' ./state/attempt 'TestTicketRuns|TestOnlyOne'
 off start-number state/attempt/attempt.go 'if ticket.start != t.cfg.Start {' 'if false {' ./internal/program TestSessions/once
 off fresh-connection transport/upstream/exchange.go 'c.connect(ctx, w, req.Once)' 'c.connect(ctx, w, false)' ./transport/upstream TestOnceNever
 off no-retry-after-send coordination/retry/retry.go 'case !t.NotRun && !t.Repeatable:' 'case false:' ./internal/program TestSessions/once
-off used-ticket-at-the-door transport/relay/engine.go 'failure = e.refuseTicket(r, failure)' '' ./internal/program TestSessions/stop
+off used-ticket-at-the-door transport/relay/engine.go 'failure = e.consumeTicket(r, failure)' '' ./internal/program TestSessions/stop
 off leaving-sticky coordination/capacity/worker.go 'w.leaving = w.leaving || r.Leaving ||' 'w.leaving = r.Leaving ||' ./coordination/capacity TestLeavingIsSticky
 off leaving-told coordination/capacity/worker.go 'unsure := w.LeavingStart != 0 &&' 'unsure := false &&' ./coordination/capacity TestTakenOver
 off stop-waits internal/daemon/stop.go 'for d.inFlight() > 0 {' 'for false {' ./internal/program TestSessions/stop
--- a/transport/entry/lookup.go
+++ b/transport/entry/lookup.go
@@ -20,13 +20,13 @@
 )
 
 const (
-	// namedVMs is how many VMs a look-up names.
-	namedVMs = 3
-	// ticketTerm is how long a ticket is good after the look-up has lapsed.
-	ticketTerm = 2 * time.Minute
+	// maxLookupVMs is the number of VMs in a lookup response.
+	maxLookupVMs = 3
+	// ticketGrace is how long a ticket is valid after the TTL of its lookup.
+	ticketGrace = 2 * time.Minute
 )
 
-// Answer is the JSON answer to a look-up.
+// Answer is the JSON response to a lookup.
 type Answer struct {
 	Service    string  `json:"service"`
 	Client     string  `json:"client"`
@@ -34,26 +34,26 @@
 	VMs        []Named `json:"vms"`
 	TTLMillis  int64   `json:"ttl_ms"`
 	Generation uint64  `json:"generation"`
-	// Ticket is for one request that may run only once, to the first VM.
+	// Ticket is valid for one request that may run only once, at the first VM.
 	Ticket string `json:"ticket"`
 }
 
-// Named is one VM of an answer.
+// Named is one VM of a lookup response.
 type Named struct {
 	ID    string `json:"id"`
 	Hall  string `json:"hall"`
 	Entry string `json:"entry"`
 }
 
-// LookupConfig sets up a Lookup. All fields are required.
+// LookupConfig configures a Lookup. All fields are required.
 type LookupConfig struct {
 	View    func() *view.View
 	Members *membership.Table
-	// Start asks a VM for its start number, if none is known yet.
+	// Start queries a VM for its start number if that is not known yet.
 	Start func(ctx context.Context, m membership.Member) (uint64, error)
 }
 
-// Lookup answers look-ups. It is safe for concurrent use.
+// Lookup selects the VMs for clients. It is safe for concurrent use.
 type Lookup struct {
 	cfg LookupConfig
 }
@@ -61,10 +61,10 @@
 // NewLookup returns a Lookup.
 func NewLookup(cfg LookupConfig) *Lookup { return &Lookup{cfg: cfg} }
 
-// Find names the VMs for a client of a service: those of its home hall or, once
-// a drain of that hall is done, of the halls that took over; then others, in
-// case none of these can be reached.
-func (l *Lookup) Find(ctx context.Context, service string, client netip.Addr) (Answer, *outcome.Failure) {
+// Resolve returns the VMs for a client of a service: first those of its home
+// hall or, if that hall is drained, of the hall that took over the client, then
+// those of other halls as fallback.
+func (l *Lookup) Resolve(ctx context.Context, service string, client netip.Addr) (Answer, *outcome.Failure) {
 	v := l.cfg.View()
 	if _, ok := v.Service(service); !ok {
 		return Answer{}, lookupFailure(outcome.CodeUnknownService, errors.Newf("service %q is unknown", service))
@@ -73,36 +73,36 @@
 	if !ok {
 		return Answer{}, lookupFailure(outcome.CodeNoBlock, errors.Newf("no block holds client %s", client))
 	}
-	hall = Destination(v, service, hall, client)
-	members := l.members(v, service, hall, client)
+	hall = FollowDrains(v, service, hall, client)
+	members := l.selectMembers(v, service, hall, client)
 	if len(members) == 0 {
 		return Answer{}, lookupFailure(outcome.CodeNoVM, errors.New("no VM is known to be live")).WithRetryAfter(time.Second)
 	}
 	ttl := v.Fleet().TTL()
-	ticket := l.ticket(ctx, members, ttl)
-	answer := Answer{
+	ticket := l.issueTicket(ctx, members, ttl)
+	response := Answer{
 		Service: service, Client: client.String(), Hall: hall,
 		TTLMillis: ttl.Milliseconds(), Generation: v.Generation(), Ticket: ticket,
 	}
 	for _, m := range members {
-		answer.VMs = append(answer.VMs, Named{ID: m.ID, Hall: m.Hall, Entry: m.Entry})
+		response.VMs = append(response.VMs, Named{ID: m.ID, Hall: m.Hall, Entry: m.Entry})
 	}
-	return answer, nil
+	return response, nil
 }
 
 func lookupFailure(code outcome.Code, err error) *outcome.Failure {
 	return outcome.New(code, outcome.NotRun, "look up", "", err)
 }
 
-// Destination follows drains that are done from a home hall to the hall that
-// its clients are sent to now. Each hall is passed at most once.
-func Destination(v *view.View, service, hall string, client netip.Addr) string {
+// FollowDrains follows finished drains from a home hall to the hall that serves
+// the client now. It visits each hall at most once.
+func FollowDrains(v *view.View, service, hall string, client netip.Addr) string {
 	seen := map[string]bool{}
 	for !seen[hall] {
 		seen[hall] = true
 		for _, m := range v.Moves(service, hall) {
 			if m.Settled() {
-				hall = targetOf(m, client)
+				hall = drainTarget(m, client)
 				break
 			}
 		}
@@ -110,7 +110,7 @@
 	return hall
 }
 
-func targetOf(m *spec.Move, client netip.Addr) string {
+func drainTarget(m *spec.Move, client netip.Addr) string {
 	weights := make([]uint32, len(m.Targets))
 	for i, t := range m.Targets {
 		weights[i] = t.Weight
@@ -118,20 +118,21 @@
 	return m.Targets[max(0, share.Weighted(m.ID, share.Client(client), weights))].Hall
 }
 
-// members returns the VMs to name. Within a hall they are ranked by the client,
-// so that clients spread evenly and each keeps to one VM while that lives.
-func (l *Lookup) members(v *view.View, service, hall string, client netip.Addr) []membership.Member {
-	named := l.ranked(hall, client)
+// selectMembers returns the VMs for a lookup response. Within a hall they are
+// ranked by the client's address, so that clients spread evenly and each keeps
+// its VM while that is live.
+func (l *Lookup) selectMembers(v *view.View, service, hall string, client netip.Addr) []membership.Member {
+	selected := l.rankMembers(hall, client)
 	for _, other := range v.Nearest(hall, service) {
-		if len(named) >= namedVMs {
+		if len(selected) >= maxLookupVMs {
 			break
 		}
-		named = append(named, l.ranked(other, client)...)
+		selected = append(selected, l.rankMembers(other, client)...)
 	}
-	return named[:min(len(named), namedVMs)]
+	return selected[:min(len(selected), maxLookupVMs)]
 }
 
-func (l *Lookup) ranked(hall string, client netip.Addr) []membership.Member {
+func (l *Lookup) rankMembers(hall string, client netip.Addr) []membership.Member {
 	members := l.cfg.Members.Hall(hall)
 	byID := make(map[string]membership.Member, len(members))
 	ids := make([]string, 0, len(members))
@@ -139,7 +140,7 @@
 		byID[m.ID] = m
 		ids = append(ids, m.ID)
 	}
-	top := assign.Top(client.String(), ids, namedVMs)
+	top := assign.Top(client.String(), ids, maxLookupVMs)
 	ranked := make([]membership.Member, 0, len(top))
 	for _, id := range top {
 		ranked = append(ranked, byID[id])
@@ -147,9 +148,9 @@
 	return ranked
 }
 
-// ticket issues a ticket for the first VM whose start number is known or can be
-// asked for, and puts that VM first. It returns "" if there is none.
-func (l *Lookup) ticket(ctx context.Context, members []membership.Member, ttl time.Duration) string {
+// issueTicket issues a ticket for the first VM whose start number is known or
+// can be queried, and moves that VM to the front. It returns "" if there is none.
+func (l *Lookup) issueTicket(ctx context.Context, members []membership.Member, ttl time.Duration) string {
 	for i, m := range members {
 		if m.Start == 0 {
 			start, err := l.cfg.Start(ctx, m)
@@ -159,7 +160,7 @@
 			m.Start = start
 		}
 		members[0], members[i] = members[i], members[0]
-		return attempt.NewTicket(m.ID, m.Start, time.Now().Add(ttl+ticketTerm)).String()
+		return attempt.NewTicket(m.ID, m.Start, time.Now().Add(ttl+ticketGrace)).String()
 	}
 	return ""
 }
--- a/transport/operator/gateway.go
+++ b/transport/operator/gateway.go
@@ -19,28 +19,29 @@
 	"github.com/ryehill/ryehill/state/spec"
 )
 
-// GatewayConfig sets up the API of a gateway, whose routes and workers are not
-// for operators of ryehill to write. All fields but Token are required.
+// GatewayConfig configures the API of a gateway, which has no endpoints for
+// configuration, because operators do not write its routes and workers. All
+// fields but Token are required.
 type GatewayConfig struct {
-	// Token is what operators must show. Without one nothing but metrics and
-	// health is served.
+	// Token is the bearer token of operators. If it is empty, only metrics and
+	// health are served.
 	Token   string
 	Metrics *metrics.Set
 	Ready   func() bool
 	Intents IntentsConfig
-	// Status returns what this VM knows of the fleet.
+	// Status returns the state of the fleet as this VM knows it.
 	Status func(ctx context.Context) Status
 	// Traffic returns the moves and caps in force.
 	Traffic    func() *spec.Traffic
 	Quarantine QuarantineConfig
 	Rollouts   RolloutsConfig
-	// Find returns the decision on a request, by the request's id.
+	// Find returns the decision for a request, by the request's id.
 	Find func(id string) (decision.Record, bool)
 }
 
-// NewGateway returns the operators' API of a gateway: metrics, health, intents,
-// status, GET /v1/decisions/ID for the id of a request or of a move, the quarantine, and
-// new versions that are brought in.
+// NewGateway returns the handler for operators of a gateway: metrics, health,
+// intents, status, decisions by the id of a request or move, quarantine and
+// rollouts.
 func NewGateway(cfg GatewayConfig) http.Handler {
 	root := http.NewServeMux()
 	root.HandleFunc("GET /healthz", func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, "ok\n") })
@@ -61,13 +62,13 @@
 	v1.HandleFunc("GET /v1/status", func(w http.ResponseWriter, r *http.Request) {
 		outcome.WriteJSON(w, http.StatusOK, cfg.Status(r.Context()))
 	})
-	v1.HandleFunc("GET /v1/decisions/{id}", cfg.explain)
-	root.Handle("/v1/", alice.New(a.authorize, a.bound).Then(v1))
+	v1.HandleFunc("GET /v1/decisions/{id}", cfg.serveExplanation)
+	root.Handle("/v1/", alice.New(a.authorize, a.limitBody).Then(v1))
 	return root
 }
 
-// explain answers with a move in force, or with the decision on a request.
-func (cfg GatewayConfig) explain(w http.ResponseWriter, r *http.Request) {
+// serveExplanation returns a move in force or the decision for a request.
+func (cfg GatewayConfig) serveExplanation(w http.ResponseWriter, r *http.Request) {
 	id := r.PathValue("id")
 	if m := intent.Find(cfg.Traffic(), id); m != nil {
 		outcome.WriteJSON(w, http.StatusOK, Explanation{Move: m})
@@ -75,7 +76,7 @@
 	}
 	record, ok := cfg.Find(id)
 	if !ok {
-		fail(w, outcome.CodeNotFound, "find decision", errors.Newf("VM %s holds no decision on request %q", cfg.Intents.VM, id))
+		writeFailure(w, outcome.CodeNotFound, "find decision", errors.Newf("VM %s holds no decision on request %q", cfg.Intents.VM, id))
 		return
 	}
 	outcome.WriteJSON(w, http.StatusOK, Explanation{Decision: &record})
--- a/transport/operator/intents.go
+++ b/transport/operator/intents.go
@@ -19,20 +19,21 @@
 	"github.com/ryehill/ryehill/state/view"
 )
 
-// IntentsConfig sets up the part of the API that takes intents. All fields but
-// Log are required.
+// IntentsConfig configures the endpoints for intents. All fields but Log are
+// required.
 type IntentsConfig struct {
 	VM    string
 	Log   logr.Logger
 	Store traffic.Store
-	// View returns the fleet and its services with a traffic object.
+	// View returns the view of the fleet and its services with the given
+	// traffic object.
 	View func(t *spec.Traffic) *view.View
-	// Changed is told of a traffic object that is known to be in force, so
-	// that this VM need not wait to hear of it.
+	// Changed is called with a traffic object that is known to be in force, so
+	// that this VM applies it without waiting for a watch.
 	Changed func(w traffic.Written)
 }
 
-// intents answers intents with plans, and carries confirmed ones out.
+// intents makes plans for intents and applies confirmed plans.
 type intents struct{ cfg IntentsConfig }
 
 func registerIntents(mux *http.ServeMux, cfg IntentsConfig) {
@@ -43,45 +44,45 @@
 }
 
 func (i *intents) plan(w http.ResponseWriter, r *http.Request) {
-	var e intent.Envelope
+	var envelope intent.Envelope
 	body, err := io.ReadAll(r.Body)
 	if err == nil {
-		err = json.Unmarshal(body, &e)
+		err = json.Unmarshal(body, &envelope)
 	}
 	if err != nil {
-		fail(w, outcome.CodeBadRequest, "read intent", err)
+		writeFailure(w, outcome.CodeBadRequest, "read intent", err)
 		return
 	}
 	t, _, err := i.cfg.Store.Read(r.Context())
 	if err != nil {
-		failPlatform(w, "read traffic", err)
+		writePlatformFailure(w, "read traffic", err)
 		return
 	}
 	halls, err := i.cfg.Store.Halls(r.Context())
 	if err != nil {
-		failPlatform(w, "read statuses", err)
+		writePlatformFailure(w, "read statuses", err)
 		return
 	}
-	plan, err := intent.Make(e.Intent, intent.Facts{ID: newID(), View: i.cfg.View(&t), Halls: halls, Now: time.Now()})
+	plan, err := intent.Make(envelope.Intent, intent.Facts{ID: newPlanID(), View: i.cfg.View(&t), Halls: halls, Now: time.Now()})
 	var refusal *intent.Refusal
 	switch {
 	case errors.As(err, &refusal):
-		fail(w, outcome.CodePlanRefused, "make plan", refusal)
+		writeFailure(w, outcome.CodePlanRefused, "make plan", refusal)
 		return
 	case err != nil:
-		fail(w, outcome.CodeBadRequest, "make plan", err)
+		writeFailure(w, outcome.CodeBadRequest, "make plan", err)
 		return
 	}
-	// It is kept in the store, so that it can be confirmed at any VM, also
-	// after this one has been replaced.
-	if err := i.cfg.Store.SavePlan(r.Context(), plan, i.operation()); err != nil {
-		failPlatform(w, "save plan", err)
+	// The plan is stored, so that it can be confirmed at any VM, even after
+	// this one has been replaced.
+	if err := i.cfg.Store.SavePlan(r.Context(), plan, i.newOperationID()); err != nil {
+		writePlatformFailure(w, "save plan", err)
 		return
 	}
 	outcome.WriteJSON(w, http.StatusCreated, plan)
 }
 
-// Accepted is the answer to a change that is known to have taken effect.
+// Accepted is the response to a change that has taken effect.
 type Accepted struct {
 	ID      string `json:"id"`
 	Version uint64 `json:"version"`
@@ -90,16 +91,16 @@
 func (i *intents) confirm(w http.ResponseWriter, r *http.Request) {
 	id := r.PathValue("id")
 	if !spec.ValidName(id) {
-		fail(w, outcome.CodeBadRequest, "read plan", errors.Newf("%q is no plan's id", id))
+		writeFailure(w, outcome.CodeBadRequest, "read plan", errors.Newf("invalid plan id %q", id))
 		return
 	}
 	plan, err := i.cfg.Store.Plan(r.Context(), id)
 	switch {
 	case errors.Is(err, traffic.ErrNoPlan):
-		fail(w, outcome.CodeNotFound, "read plan", errors.Newf("no plan has the id %q", id))
+		writeFailure(w, outcome.CodeNotFound, "read plan", errors.Newf("plan %q does not exist", id))
 		return
 	case err != nil:
-		failPlatform(w, "read plan", err)
+		writePlatformFailure(w, "read plan", err)
 		return
 	}
 	i.change(w, r, plan.ID, func(t spec.Traffic) (spec.Traffic, error) {
@@ -117,12 +118,12 @@
 	})
 }
 
-func (i *intents) operation() string { return newOperation(i.cfg.VM) }
+func (i *intents) newOperationID() string { return newOperationID(i.cfg.VM) }
 
 func (i *intents) change(w http.ResponseWriter, r *http.Request, id string, apply func(spec.Traffic) (spec.Traffic, error)) {
-	written, err := traffic.Change(r.Context(), i.cfg.Store, i.operation, apply)
+	written, err := traffic.Change(r.Context(), i.cfg.Store, i.newOperationID, apply)
 	if err != nil && !errors.Is(err, traffic.ErrInForce) {
-		failChange(w, err)
+		writeChangeFailure(w, err)
 		return
 	}
 	if err == nil {
@@ -132,16 +133,16 @@
 	outcome.WriteJSON(w, http.StatusOK, Accepted{ID: id, Version: written.Version})
 }
 
-func failChange(w http.ResponseWriter, err error) {
+func writeChangeFailure(w http.ResponseWriter, err error) {
 	var refusal *intent.Refusal
 	switch {
 	case errors.Is(err, intent.ErrPlanAgain):
-		fail(w, outcome.CodePlanAgain, "apply", err)
+		writeFailure(w, outcome.CodePlanAgain, "apply", err)
 	case errors.As(err, &refusal):
-		fail(w, outcome.CodePlanRefused, "apply", refusal)
+		writeFailure(w, outcome.CodePlanRefused, "apply", refusal)
 	case errors.Is(err, intent.ErrIntent), errors.Is(err, intent.ErrTransition):
-		fail(w, outcome.CodeBadRequest, "apply", err)
+		writeFailure(w, outcome.CodeBadRequest, "apply", err)
 	default:
-		failPlatform(w, "change traffic", err)
+		writePlatformFailure(w, "change traffic", err)
 	}
 }
--- a/transport/operator/operator.go
+++ b/transport/operator/operator.go
@@ -4,10 +4,10 @@
 // Package operator is the operators' API: intents, plans, status, explanations,
 // configuration, health and metrics.
 //
-// It has a listener of its own, which callers do not reach. Every path under
-// /v1 takes a bearer token. An intent is answered with a plan and changes
-// nothing; confirming names the plan, and takes effect only if the traffic
-// object still has the version that the plan was made from.
+// It has its own listener, which callers cannot reach. Every path under /v1
+// requires a bearer token. The response to an intent is a plan, which changes
+// nothing until it is confirmed. A confirmed plan takes effect only if the
+// traffic object still has the version that the plan was made from.
 //
 // # Usage
 //
@@ -40,10 +40,10 @@
 	"github.com/ryehill/ryehill/transport/platform"
 )
 
-// maxBody bounds a request's body, in bytes.
+// maxBody is the maximum size of a request body, in bytes.
 const maxBody = 8 << 20
 
-// Config sets up the API. All fields but Log are required.
+// Config configures the API. All fields but Log are required.
 type Config struct {
 	Token     string
 	VM        string
@@ -57,9 +57,9 @@
 	Intents   IntentsConfig
 	// Ready returns nil if the daemon can serve callers.
 	Ready func() error
-	// Find asks another VM for a decision.
+	// Find fetches a decision from another VM.
 	Find func(ctx context.Context, vm, id string) (decision.Record, error)
-	// Own returns the sums of this VM.
+	// Own returns the load summary of this VM.
 	Own func() load.VMStatus
 }
 
@@ -68,55 +68,55 @@
 	token [sha256.Size]byte
 }
 
-// ErrToken reports settings without a token.
-var ErrToken = errors.New("operator: a token is required")
+// ErrNoToken reports a configuration without a token.
+var ErrNoToken = errors.New("operator: a token is required")
 
-// New returns the handler. It returns ErrToken without a token.
+// New returns the handler for operators. It returns ErrNoToken without a token.
 func New(cfg Config) (http.Handler, error) {
 	if cfg.Token == "" {
-		return nil, ErrToken
+		return nil, ErrNoToken
 	}
 	a := &api{cfg: cfg, token: sha256.Sum256([]byte(cfg.Token))}
 	v1 := http.NewServeMux()
 	registerIntents(v1, cfg.Intents)
-	v1.HandleFunc("GET /v1/status", a.status)
-	v1.HandleFunc("GET /v1/decisions/{id}", a.explain)
-	v1.HandleFunc("PUT /v1/config", a.apply)
-	v1.HandleFunc("GET /v1/config", a.config)
+	v1.HandleFunc("GET /v1/status", a.serveStatus)
+	v1.HandleFunc("GET /v1/decisions/{id}", a.serveExplanation)
+	v1.HandleFunc("PUT /v1/config", a.applyConfig)
+	v1.HandleFunc("GET /v1/config", a.writeConfig)
 	root := http.NewServeMux()
-	root.Handle("/v1/", alice.New(a.authorize, a.bound).Then(v1))
+	root.Handle("/v1/", alice.New(a.authorize, a.limitBody).Then(v1))
 	root.HandleFunc("GET /healthz", func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, "ok\n") })
-	root.HandleFunc("GET /readyz", a.ready)
+	root.HandleFunc("GET /readyz", a.serveReady)
 	root.Handle("GET /metrics", cfg.Metrics.Handler())
 	return root, nil
 }
 
-// authorize compares digests, which takes the same time whatever was sent.
+// authorize requires the bearer token. It compares digests in constant time.
 func (a *api) authorize(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		sent, _ := strings.CutPrefix(r.Header.Get("Authorization"), "Bearer ")
 		digest := sha256.Sum256([]byte(sent))
 		if subtle.ConstantTimeCompare(digest[:], a.token[:]) != 1 {
-			fail(w, outcome.CodeUnauthorized, "authorize", errors.New("the bearer token is missing or wrong"))
+			writeFailure(w, outcome.CodeUnauthorized, "authorize", errors.New("the bearer token is missing or wrong"))
 			return
 		}
 		next.ServeHTTP(w, r)
 	})
 }
 
-func (a *api) bound(next http.Handler) http.Handler {
+func (a *api) limitBody(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		r.Body = http.MaxBytesReader(w, r.Body, maxBody)
 		next.ServeHTTP(w, r)
 	})
 }
 
-func fail(w http.ResponseWriter, code outcome.Code, step string, err error) {
+func writeFailure(w http.ResponseWriter, code outcome.Code, step string, err error) {
 	outcome.Write(w, outcome.New(code, outcome.NotRun, step, "", err))
 }
 
-// failPlatform answers with what a failed call to the platform means.
-func failPlatform(w http.ResponseWriter, step string, err error) {
+// writePlatformFailure responds with the failure for an error of the platform.
+func writePlatformFailure(w http.ResponseWriter, step string, err error) {
 	switch {
 	case errors.Is(err, platform.ErrUnresolved), errors.Is(err, traffic.ErrUnresolved):
 		outcome.Write(w, outcome.New(outcome.CodeWriteUnresolved, outcome.Unknown, step, "platform", err))
@@ -127,7 +127,7 @@
 	}
 }
 
-func (a *api) ready(w http.ResponseWriter, _ *http.Request) {
+func (a *api) serveReady(w http.ResponseWriter, _ *http.Request) {
 	if err := a.cfg.Ready(); err != nil {
 		http.Error(w, err.Error(), http.StatusServiceUnavailable)
 		return
@@ -135,13 +135,13 @@
 	_, _ = io.WriteString(w, "ready\n")
 }
 
-func newID() string {
+func newPlanID() string {
 	var raw [5]byte
 	_, _ = rand.Read(raw[:])
 	return "p" + hex.EncodeToString(raw[:])
 }
 
-func newOperation(vm string) string {
+func newOperationID(vm string) string {
 	var raw [8]byte
 	_, _ = rand.Read(raw[:])
 	return vm + "-" + hex.EncodeToString(raw[:])
--- a/transport/operator/quarantine.go
+++ b/transport/operator/quarantine.go
@@ -13,16 +13,17 @@
 	"github.com/ryehill/ryehill/state/quarantine"
 )
 
-// QuarantineConfig sets up what operators see and do of requests that end workers. All
-// fields are required.
+// QuarantineConfig configures the endpoints for quarantined requests, which are
+// requests that crash workers. All fields are required.
 type QuarantineConfig struct {
-	// All returns the requests that are held, or were.
+	// All returns the requests that are or were quarantined.
 	All func() []quarantine.Entry
-	// Release lets a request run again at all VMs, and reports whether it was known.
+	// Release lifts the quarantine of a request at all VMs. It reports whether
+	// the request was quarantined.
 	Release func(ctx context.Context, f quarantine.Fingerprint) (known bool, err error)
 }
 
-// Released is the answer to a release.
+// Released is the response to a release.
 type Released struct {
 	Fingerprint string `json:"fingerprint"`
 }
@@ -38,15 +39,15 @@
 	const step = "release"
 	f, err := quarantine.ParseFingerprint(r.PathValue("fingerprint"))
 	if err != nil {
-		fail(w, outcome.CodeBadRequest, step, err)
+		writeFailure(w, outcome.CodeBadRequest, step, err)
 		return
 	}
 	known, err := c.Release(r.Context(), f)
 	switch {
 	case err != nil:
-		fail(w, outcome.CodePlatform, step, err)
+		writeFailure(w, outcome.CodePlatform, step, err)
 	case !known:
-		fail(w, outcome.CodeNotFound, step, errors.Newf("no request with fingerprint %s is held", f))
+		writeFailure(w, outcome.CodeNotFound, step, errors.Newf("no request with fingerprint %s is held", f))
 	default:
 		outcome.WriteJSON(w, http.StatusOK, Released{Fingerprint: f.String()})
 	}
--- a/transport/operator/rollouts.go
+++ b/transport/operator/rollouts.go
@@ -12,41 +12,43 @@
 	"github.com/ryehill/ryehill/state/rollout"
 )
 
-// RolloutsConfig sets up what operators see and do of new versions that are brought in. All
-// fields are required.
+// RolloutsConfig configures the endpoints for rollouts of new versions. All fields
+// are required.
 type RolloutsConfig struct {
-	// All returns the orders that are known.
+	// All returns the known rollouts.
 	All func() []RolloutStatus
-	// Stop rolls an order back, and reports whether there is one under way.
+	// Stop rolls back the rollout of a service. It reports whether there was one.
 	Stop func(service string) bool
 }
 
-// RolloutStatus is one order as a VM knows it.
+// RolloutStatus is the state of one rollout as this VM knows it.
 type RolloutStatus struct {
 	Service string `json:"service"`
 	Version string `json:"version"`
 	Phase   string `json:"phase"`
-	// Reason says why it is there, and what it waits for, as the VM that decides has told.
+	// Reason explains the phase and what the rollout waits for, as the deciding
+	// VM reported it.
 	Reason string `json:"reason"`
-	// LeftMillis is the time until it is to be done.
+	// LeftMillis is the time left until the rollout is due to be done.
 	LeftMillis int64 `json:"left_ms"`
-	// Decides is set at the VM that decides.
+	// Decides is set at the VM that decides the rollout's phases.
 	Decides bool `json:"decides"`
-	// Requests are those of this VM since the order, Sent those it sent to the version.
+	// Requests counts this VM's requests since the start of the rollout, and
+	// Sent those sent to the new version.
 	Requests int `json:"requests"`
 	Sent     int `json:"sent"`
-	// Routes compare the versions, as this VM's own requests ended.
+	// Routes compares the versions by the outcomes of this VM's requests.
 	Routes []RolloutRoute `json:"routes"`
 }
 
-// RolloutRoute compares the answers of two versions on one route.
+// RolloutRoute compares the outcomes of two versions on one route.
 type RolloutRoute struct {
 	Route string        `json:"route"`
 	Old   rollout.Tally `json:"old"`
 	New   rollout.Tally `json:"new"`
 }
 
-// RolloutStopped is the answer to a stop.
+// RolloutStopped is the response to a stop.
 type RolloutStopped struct {
 	Service string `json:"service"`
 }
@@ -58,7 +60,7 @@
 	v1.HandleFunc("POST /v1/rollouts/{service}/stop", func(w http.ResponseWriter, r *http.Request) {
 		service := r.PathValue("service")
 		if !c.Stop(service) {
-			fail(w, outcome.CodeNotFound, "stop roll-out", errors.Newf("no new version of service %q is being brought in", service))
+			writeFailure(w, outcome.CodeNotFound, "stop roll-out", errors.Newf("service %q has no rollout in progress", service))
 			return
 		}
 		outcome.WriteJSON(w, http.StatusOK, RolloutStopped{Service: service})
--- a/transport/operator/status.go
+++ b/transport/operator/status.go
@@ -25,7 +25,7 @@
 	"github.com/ryehill/ryehill/transport/platform"
 )
 
-// Status is the answer to GET /v1/status.
+// Status is the response to GET /v1/status.
 type Status struct {
 	VM         string            `json:"vm"`
 	Hall       string            `json:"hall"`
@@ -37,54 +37,55 @@
 	Moves      []spec.Move       `json:"moves"`
 	Caps       []spec.Cap        `json:"caps"`
 	Leaving    []string          `json:"leaving"`
-	// Unused are some of the store's entries that the VM cannot use.
+	// Unused lists some of the store's entries that the VM cannot use.
 	Unused []UnusedEntry `json:"unused,omitempty"`
-	// HeldBack are some of the workers that get nothing for now, or soon, for what they
-	// have said of themselves.
+	// HeldBack lists some of the workers that receive no or fewer requests, now
+	// or soon, because of a signal they sent.
 	HeldBack []HeldBackWorker `json:"held_back,omitempty"`
 }
 
-// HeldBackWorker is a worker that leaves, rests or names a limit.
+// HeldBackWorker is a worker that is leaving, resting or rate-limited.
 type HeldBackWorker struct {
 	Worker  string `json:"worker"`
 	Service string `json:"service"`
 	Hall    string `json:"hall"`
-	// State is leaving, resting or limited, From who has said so: its answer, the store or a VM.
+	// State is leaving, resting or limited. From is the source of the signal: a
+	// response of the worker, the store or another VM.
 	State string `json:"state"`
 	From  string `json:"from"`
-	// LeftMillis is how long it may get requests still if it leaves, and for how long it
-	// gets none if it rests.
+	// LeftMillis is how long a leaving worker may still get requests, or how
+	// long a resting one gets none.
 	LeftMillis int64 `json:"left_ms"`
-	// PerS is the rate in requests a second that it takes from all VMs if it is limited, and
-	// SinceMillis for how long the VM has known of a limit.
+	// PerS is the total rate of a limited worker in requests per second, from
+	// all VMs, and SinceMillis how long the VM has known of a limit.
 	PerS        float64 `json:"per_s,omitempty"`
 	SinceMillis int64   `json:"since_ms,omitempty"`
 }
 
-// UnusedEntry is an entry of the store that is not used, and why.
+// UnusedEntry is an entry of the store that cannot be used, and the reason.
 type UnusedEntry struct {
 	Kind   string `json:"kind"`
 	Name   string `json:"name"`
 	Reason string `json:"reason"`
 }
 
-// statusPatience is how long a status waits for the platform: an operator who
-// asks while it is away wants to see what the VM itself knows.
-const statusPatience = time.Second
+// platformStatusTimeout limits the wait for the platform, so that a status is
+// returned soon while the platform is unavailable.
+const platformStatusTimeout = time.Second
 
-// MemberStatus is one known VM.
+// MemberStatus is the state of one known VM.
 type MemberStatus struct {
 	VM    string `json:"vm"`
 	Hall  string `json:"hall"`
 	State string `json:"state"`
 }
 
-// Member returns the status of a VM.
+// Member returns the MemberStatus of a member.
 func Member(m membership.Member) MemberStatus {
 	return MemberStatus{VM: m.ID, Hall: m.Hall, State: m.State.String()}
 }
 
-func (a *api) status(w http.ResponseWriter, r *http.Request) {
+func (a *api) serveStatus(w http.ResponseWriter, r *http.Request) {
 	v := a.cfg.View()
 	self := a.cfg.Members.Self()
 	s := Status{
@@ -96,7 +97,7 @@
 	for _, m := range a.cfg.Members.All() {
 		s.Members = append(s.Members, Member(m))
 	}
-	ctx, cancel := context.WithTimeout(r.Context(), statusPatience)
+	ctx, cancel := context.WithTimeout(r.Context(), platformStatusTimeout)
 	defer cancel()
 	halls, err := a.cfg.Intents.Store.Halls(ctx)
 	if err != nil {
@@ -109,14 +110,14 @@
 	outcome.WriteJSON(w, http.StatusOK, s)
 }
 
-// Explanation is the answer to GET /v1/decisions/ID: the record of one request,
+// Explanation is the response to GET /v1/decisions/ID: the decision for a request
 // or a move with its history.
 type Explanation struct {
 	Decision *decision.Record `json:"decision,omitempty"`
 	Move     *spec.Move       `json:"move,omitempty"`
 }
 
-func (a *api) explain(w http.ResponseWriter, r *http.Request) {
+func (a *api) serveExplanation(w http.ResponseWriter, r *http.Request) {
 	id := r.PathValue("id")
 	if m := intent.Find(a.cfg.View().Traffic(), id); m != nil {
 		outcome.WriteJSON(w, http.StatusOK, Explanation{Move: m})
@@ -124,13 +125,13 @@
 	}
 	vm, _, ok := strings.Cut(id, ".")
 	if !ok {
-		fail(w, outcome.CodeNotFound, "find decision", errors.Newf("%q names no move in force and no decision", id))
+		writeFailure(w, outcome.CodeNotFound, "find decision", errors.Newf("no move in force and no decision has the id %q", id))
 		return
 	}
 	if vm == a.cfg.VM {
 		record, ok := a.cfg.Decisions.Find(id)
 		if !ok {
-			fail(w, outcome.CodeNotFound, "find decision", errors.Newf("VM %s no longer holds decision %q", vm, id))
+			writeFailure(w, outcome.CodeNotFound, "find decision", errors.Newf("VM %s no longer holds decision %q", vm, id))
 			return
 		}
 		outcome.WriteJSON(w, http.StatusOK, Explanation{Decision: &record})
@@ -144,54 +145,54 @@
 	outcome.WriteJSON(w, http.StatusOK, Explanation{Decision: &record})
 }
 
-func (a *api) config(w http.ResponseWriter, _ *http.Request) {
+func (a *api) writeConfig(w http.ResponseWriter, _ *http.Request) {
 	_, objects := a.cfg.Store.Snapshot()
 	slices.SortFunc(objects, func(x, y spec.Object) int { return strings.Compare(x.String(), y.String()) })
 	outcome.WriteJSON(w, http.StatusOK, spec.Set{Objects: objects})
 }
 
-// Applied is the answer to PUT /v1/config.
+// Applied is the response to PUT /v1/config.
 type Applied struct {
 	Objects []AppliedObject `json:"objects"`
 }
 
-// AppliedObject is one object and its version in force.
+// AppliedObject is an object and its version in force.
 type AppliedObject struct {
 	Key     string `json:"key"`
 	Version uint64 `json:"version"`
 	Changed bool   `json:"changed"`
 }
 
-// apply checks a set of objects as a whole against what is in force, then
-// writes those that differ, each on its own condition. If one fails, those
-// before it are in force, and the error says which.
-func (a *api) apply(w http.ResponseWriter, r *http.Request) {
+// applyConfig validates a set of objects together with those in force, then writes
+// the objects that differ, each conditionally. If a write fails, the objects before
+// it stay in force, and the error names the object that failed.
+func (a *api) applyConfig(w http.ResponseWriter, r *http.Request) {
 	body, err := io.ReadAll(r.Body)
 	var set spec.Set
 	if err == nil {
 		set, err = spec.DecodeSet(body)
 	}
 	if err == nil {
-		err = a.check(set)
+		err = a.checkSet(set)
 	}
 	if err != nil {
-		fail(w, outcome.CodeBadRequest, "check objects", err)
+		writeFailure(w, outcome.CodeBadRequest, "check objects", err)
 		return
 	}
 	var applied Applied
 	for _, o := range set.Objects {
-		done, err := a.applyOne(r, o)
+		written, err := a.applyObject(r, o)
 		if err != nil {
 			err = errors.Wrapf(err, "%d of %d objects are in force, then %s", len(applied.Objects), len(set.Objects), o.Key)
-			failPlatform(w, "write object", err)
+			writePlatformFailure(w, "write object", err)
 			return
 		}
-		applied.Objects = append(applied.Objects, done)
+		applied.Objects = append(applied.Objects, written)
 	}
 	outcome.WriteJSON(w, http.StatusOK, applied)
 }
 
-func (a *api) check(set spec.Set) error {
+func (a *api) checkSet(set spec.Set) error {
 	generation, objects := a.cfg.Store.Snapshot()
 	replaced := make(map[spec.Key]bool)
 	for _, o := range set.Objects {
@@ -208,7 +209,7 @@
 	return v.Check()
 }
 
-func (a *api) applyOne(r *http.Request, o spec.Object) (AppliedObject, error) {
+func (a *api) applyObject(r *http.Request, o spec.Object) (AppliedObject, error) {
 	found, err := a.cfg.Platform.Get(r.Context(), o.Key)
 	cond := platform.IfVersion(found.Version)
 	switch {
@@ -220,7 +221,7 @@
 		return AppliedObject{Key: o.String(), Version: found.Version}, nil
 	}
 	o.Version = 0
-	o.Operation = newOperation(a.cfg.VM)
+	o.Operation = newOperationID(a.cfg.VM)
 	version, err := a.cfg.Platform.Put(r.Context(), o, cond, o.Operation)
 	if err != nil {
 		return AppliedObject{}, err
@@ -236,7 +237,7 @@
 	if json.Unmarshal(x, &a) != nil || json.Unmarshal(y, &b) != nil {
 		return false
 	}
-	left, _ := json.Marshal(a)
-	right, _ := json.Marshal(b)
-	return string(left) == string(right)
+	xJSON, _ := json.Marshal(a)
+	yJSON, _ := json.Marshal(b)
+	return string(xJSON) == string(yJSON)
 }
--- a/transport/peer/member.go
+++ b/transport/peer/member.go
@@ -11,10 +11,10 @@
 	"github.com/ryehill/ryehill/state/spec"
 )
 
-// ErrMember reports news of a VM that cannot be read.
-var ErrMember = errors.New("peer: malformed news of a VM")
+// ErrMalformedMember reports a member record from a peer that cannot be decoded.
+var ErrMalformedMember = errors.New("peer: malformed member record")
 
-// EncodeMember returns the message that tells of a VM.
+// EncodeMember returns the wire message for a member.
 func EncodeMember(m membership.Member) *peerpb.Member {
 	return &peerpb.Member{
 		Vm: m.ID, Hall: m.Hall, Entry: m.Entry, Peer: m.Peer,
@@ -22,12 +22,12 @@
 	}
 }
 
-// DecodeMember reads a message that tells of a VM. It returns ErrMember for one
-// with a bad name, an unknown state or no start.
+// DecodeMember decodes a member message. It returns ErrMalformedMember if a name
+// is invalid, the state is unknown or the start number is missing.
 func DecodeMember(m *peerpb.Member) (membership.Member, error) {
 	state := membership.State(m.GetState())
 	if !spec.ValidName(m.GetVm()) || !spec.ValidName(m.GetHall()) || state > membership.StateGone || m.GetStart() == 0 {
-		return membership.Member{}, errors.Wrapf(ErrMember, "VM %q", m.GetVm())
+		return membership.Member{}, errors.Wrapf(ErrMalformedMember, "VM %q", m.GetVm())
 	}
 	return membership.Member{
 		VM: spec.VM{
@@ -37,7 +37,7 @@
 	}, nil
 }
 
-// DecodeNews reads what a peer tells of VMs, and leaves out what cannot be read.
+// DecodeNews decodes the member messages of a peer and skips malformed ones.
 func DecodeNews(news []*peerpb.Member) []membership.Member {
 	members := make([]membership.Member, 0, len(news))
 	for _, m := range news {
--- a/transport/peer/member_test.go
+++ b/transport/peer/member_test.go
@@ -14,14 +14,14 @@
 	"github.com/ryehill/ryehill/transport/peer"
 )
 
-func TestMembersAreReadBack(t *testing.T) {
+func TestMemberRoundTrip(t *testing.T) {
 	m := membership.Member{
 		VM:    spec.VM{ID: "a", Hall: "h", Entry: "127.0.0.1:1", Peer: "127.0.0.1:2", State: spec.VMLive},
 		Start: 7, Incarnation: 3, State: membership.StateLive,
 	}
 	got, err := peer.DecodeMember(peer.EncodeMember(m))
 	if err != nil || got != m {
-		t.Errorf("%+v, %v", got, err)
+		t.Errorf("decoded member %+v, error %v", got, err)
 	}
 	cases := map[string]func(*peerpb.Member){
 		"bad VM":        func(p *peerpb.Member) { p.Vm = "A B" },
@@ -33,11 +33,11 @@
 		t.Run(name, func(t *testing.T) {
 			message := peer.EncodeMember(m)
 			change(message)
-			if _, err := peer.DecodeMember(message); !errors.Is(err, peer.ErrMember) {
-				t.Errorf("error %v", err)
+			if _, err := peer.DecodeMember(message); !errors.Is(err, peer.ErrMalformedMember) {
+				t.Errorf("error %v, want ErrMalformedMember", err)
 			}
-			if left := peer.DecodeNews([]*peerpb.Member{message, peer.EncodeMember(m)}); len(left) != 1 {
-				t.Errorf("%d of two are read", len(left))
+			if decoded := peer.DecodeNews([]*peerpb.Member{message, peer.EncodeMember(m)}); len(decoded) != 1 {
+				t.Errorf("%d of 2 members decoded, want 1", len(decoded))
 			}
 		})
 	}
--- a/transport/peer/pause.go
+++ b/transport/peer/pause.go
@@ -11,50 +11,51 @@
 )
 
 const (
-	// firstRetry and longestRetry bound the wait after a failed dial.
-	firstRetry   = 100 * time.Millisecond
-	longestRetry = 3 * time.Second
+	// Bounds of the delay before a peer is dialled again after a failed dial.
+	initialRedialDelay = 100 * time.Millisecond
+	maxRedialDelay     = 3 * time.Second
 )
 
-// pause is the wait before a peer that could not be reached is dialled again. It
-// grows with the failures in a row and ends when the peer shows itself. It is safe
-// for concurrent use, also while a dial holds the session.
-type pause struct {
+// dialBackoff delays the next dial of a peer after failed dials. The delay grows
+// with consecutive failures and ends when the peer opens a session itself. It is
+// safe for concurrent use, also while a dial holds the session's lock.
+type dialBackoff struct {
 	mu      sync.Mutex
-	backoff *backoff.ExponentialBackOff
-	until   time.Time
-	failure error
+	delays  *backoff.ExponentialBackOff
+	retryAt time.Time
+	lastErr error
 }
 
-func newPause() *pause {
+func newDialBackoff() *dialBackoff {
 	b := backoff.NewExponentialBackOff()
-	b.InitialInterval = firstRetry
-	b.MaxInterval = longestRetry
-	return &pause{backoff: b}
+	b.InitialInterval = initialRedialDelay
+	b.MaxInterval = maxRedialDelay
+	return &dialBackoff{delays: b}
 }
 
-// begin notes a dial that failed.
-func (p *pause) begin(failure error) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	p.failure = failure
-	p.until = time.Now().Add(p.backoff.NextBackOff())
+// recordFailure starts a delay after a failed dial.
+func (b *dialBackoff) recordFailure(err error) {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	b.lastErr = err
+	b.retryAt = time.Now().Add(b.delays.NextBackOff())
 }
 
-// end lets the next dial go at once.
-func (p *pause) end() {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	p.until = time.Time{}
-	p.backoff.Reset()
+// reset ends the delay, so that the next dial is made at once.
+func (b *dialBackoff) reset() {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	b.retryAt = time.Time{}
+	b.delays.Reset()
 }
 
-// underWay returns why the last dial failed if the wait is not over, or nil.
-func (p *pause) underWay() error {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	if time.Now().Before(p.until) {
-		return p.failure
+// activeFailure returns the error of the last failed dial while the delay lasts,
+// or nil.
+func (b *dialBackoff) activeFailure() error {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	if time.Now().Before(b.retryAt) {
+		return b.lastErr
 	}
 	return nil
 }
--- a/transport/peer/peer.go
+++ b/transport/peer/peer.go
@@ -3,12 +3,12 @@
 
 // Package peer carries messages and requests between the VMs of a fleet.
 //
-// One TCP connection, with mutual TLS if set, holds a yamux session; each
-// exchange is a stream of its own. A session begins with a Hello in both
-// directions: a peer of another fleet or protocol version, or one that is not
-// the VM that was meant, is refused there. Sessions are opened on demand, are
-// bounded in number and closed when idle, so that a VM holds as many as it has
-// business with and never one to every VM of the fleet.
+// Each TCP connection, with mutual TLS if configured, carries a yamux session,
+// and each exchange is a stream of it. A session begins with a Hello in both
+// directions, which refuses a peer of another fleet or protocol version and a
+// VM other than the one that was dialled. Sessions are opened on demand, limited
+// in number and closed when idle, so that the VMs of a large fleet do not all
+// stay connected to each other.
 //
 // # Usage
 //
@@ -33,37 +33,36 @@
 	"github.com/ryehill/ryehill/protocol/wire"
 )
 
-// Errors of sessions and calls. All of them are marked with the peer's id in
-// their text.
+// Errors of sessions and calls. Their text names the peer.
 var (
-	// ErrUnreachable reports that no session could be opened, so that no
-	// byte of the message reached the peer.
+	// ErrUnreachable reports that no session could be opened, so no byte of
+	// the message reached the peer.
 	ErrUnreachable = errors.New("peer: unreachable")
-	// ErrNotYet reports a peer that is not dialled again so soon after it could
-	// not be reached.
-	ErrNotYet = errors.New("peer: not tried again yet")
-	// ErrHello reports a peer that was refused at the hello.
+	// ErrBackoff reports that the peer is not dialled, because the delay after
+	// a failed dial has not passed.
+	ErrBackoff = errors.New("peer: dial delayed after a failure")
+	// ErrHello reports that the hello of a peer was refused.
 	ErrHello = errors.New("peer: hello refused")
 	// ErrBusy reports too many sessions or streams.
 	ErrBusy = errors.New("peer: too many sessions or streams")
 )
 
 const (
-	maxSessions      = 512
-	maxInbound       = 2048
-	maxStreams       = 8192
-	helloTimeout     = 3 * time.Second
-	idleClose        = time.Minute
-	keepAlive        = 15 * time.Second
-	writeTimeout     = 5 * time.Second
-	streamOpen       = 5 * time.Second
-	firstMessage     = 5 * time.Second
-	acceptBacklog    = 256
-	streamWindow     = 512 << 10
-	sessionsPerSweep = 8
+	maxOutboundSessions  = 512
+	maxInboundSessions   = 2048
+	maxStreams           = 8192
+	helloTimeout         = 3 * time.Second
+	idleTimeout          = time.Minute
+	keepAliveInterval    = 15 * time.Second
+	writeTimeout         = 5 * time.Second
+	streamOpenTimeout    = 5 * time.Second
+	firstMessageTimeout  = 5 * time.Second
+	acceptBacklog        = 256
+	streamWindowBytes    = 512 << 10
+	sweepsPerIdleTimeout = 8
 )
 
-// Identity says who a process is.
+// Identity identifies one run of a VM's process.
 type Identity struct {
 	Fleet string
 	Hall  string
@@ -71,13 +70,13 @@
 	Start uint64
 }
 
-// Target is a VM to reach. Without an id it is whichever VM has the address.
+// Target is a VM to connect to. With an empty VM id it is any VM at the address.
 type Target struct {
 	VM      string
 	Address string
 }
 
-// key names the session to a target.
+// key returns the key of the target's session in Manager.sessions.
 func (t Target) key() string {
 	if t.VM == "" {
 		return "@" + t.Address
@@ -85,31 +84,32 @@
 	return t.VM
 }
 
-// Handler serves one stream that a peer opened. It owns the stream and closes
-// it. The first message has been read already.
+// Handler serves one stream that a peer opened, whose first message has been
+// read. It owns the stream and must close it.
 type Handler func(ctx context.Context, from Identity, s *Stream, first *peerpb.Envelope)
 
-// Config sets up a Manager. Self and Handler are required.
+// Config configures a Manager. Self and Handler are required.
 type Config struct {
 	Self    Identity
 	Handler Handler
 	Log     logr.Logger
-	// Allow looks at the identity of a peer that connects. Nil allows all
-	// that pass the hello.
+	// Allow accepts or rejects the identity of a peer after the hello. Nil
+	// allows every peer that passes the hello.
 	Allow func(Identity) error
-	// Dial opens connections. Default: a net.Dialer.
+	// Dial opens connections. Default: a net.Dialer for TCP.
 	Dial func(ctx context.Context, address string) (net.Conn, error)
-	// ServerTLS and ClientTLS switch TLS on. Both must ask for certificates.
+	// ServerTLS and ClientTLS enable TLS. Both must require certificates.
 	ServerTLS, ClientTLS *tls.Config
 }
 
-// Manager keeps the sessions of one process. It is safe for concurrent use.
+// Manager manages the peer sessions of one process. It is safe for concurrent
+// use.
 type Manager struct {
-	cfg     Config
-	ctx     context.Context
-	cancel  context.CancelFunc
-	wg      sync.WaitGroup
-	streams chan struct{}
+	cfg         Config
+	ctx         context.Context
+	cancel      context.CancelFunc
+	wg          sync.WaitGroup
+	streamSlots chan struct{}
 
 	mu       sync.Mutex
 	sessions map[string]*session
@@ -118,15 +118,15 @@
 
 // session is the outgoing session to one VM.
 type session struct {
-	mu      sync.Mutex // held while dialling
-	address string
-	mux     *yamux.Session
-	peer    Identity
-	used    time.Time
-	pause   *pause
+	mu       sync.Mutex // held while dialling
+	address  string
+	mux      *yamux.Session
+	peer     Identity
+	lastUsed time.Time
+	backoff  *dialBackoff
 }
 
-// New returns a manager without sessions.
+// New returns a manager without sessions. Close releases it.
 func New(cfg Config) *Manager {
 	if cfg.Dial == nil {
 		d := &net.Dialer{Timeout: helloTimeout}
@@ -136,19 +136,19 @@
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	m := &Manager{
-		cfg:      cfg,
-		ctx:      ctx,
-		cancel:   cancel,
-		streams:  make(chan struct{}, maxStreams),
-		sessions: make(map[string]*session),
-		inbound:  make(map[*yamux.Session]struct{}),
+		cfg:         cfg,
+		ctx:         ctx,
+		cancel:      cancel,
+		streamSlots: make(chan struct{}, maxStreams),
+		sessions:    make(map[string]*session),
+		inbound:     make(map[*yamux.Session]struct{}),
 	}
 	m.wg.Add(1)
-	go m.closeIdle()
+	go m.sweepLoop()
 	return m
 }
 
-// Close ends every session and waits for the handlers to return.
+// Close closes every session and waits for the handlers to return.
 func (m *Manager) Close() {
 	m.cancel()
 	m.mu.Lock()
@@ -166,7 +166,7 @@
 	m.wg.Wait()
 }
 
-// Sessions returns how many outgoing and incoming sessions are open.
+// Sessions returns the numbers of outgoing and incoming sessions.
 func (m *Manager) Sessions() (out, in int) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -176,18 +176,18 @@
 func muxConfig() *yamux.Config {
 	c := yamux.DefaultConfig()
 	c.AcceptBacklog = acceptBacklog
-	c.KeepAliveInterval = keepAlive
+	c.KeepAliveInterval = keepAliveInterval
 	c.ConnectionWriteTimeout = writeTimeout
-	c.MaxStreamWindowSize = streamWindow
-	c.StreamOpenTimeout = streamOpen
+	c.MaxStreamWindowSize = streamWindowBytes
+	c.StreamOpenTimeout = streamOpenTimeout
 	c.LogOutput = io.Discard
 	return c
 }
 
-// Open begins an exchange with a VM and sends its first message. It returns
-// ErrUnreachable if no byte of the message left.
+// Open opens a stream to a VM and sends its first message. It returns
+// ErrUnreachable if no byte of the message was sent.
 func (m *Manager) Open(ctx context.Context, t Target, first *peerpb.Envelope) (*Stream, error) {
-	s, err := m.session(t)
+	s, err := m.sessionFor(t)
 	if err != nil {
 		return nil, err
 	}
@@ -208,28 +208,29 @@
 	return stream, nil
 }
 
-// Call sends a message and waits for the one reply, until ctx ends.
+// Call sends a message and waits for the single reply until ctx ends.
 func (m *Manager) Call(ctx context.Context, t Target, message *peerpb.Envelope) (*peerpb.Envelope, error) {
 	stream, err := m.Open(ctx, t, message)
 	if err != nil {
 		return nil, err
 	}
 	defer stream.Close()
-	stop := stream.CloseWith(ctx)
+	stop := stream.CloseOnDone(ctx)
 	defer stop()
 	reply, err := stream.Read()
 	if err != nil {
 		if ctx.Err() != nil {
-			m.suspect(t)
+			m.dropUnresponsive(t)
 		}
 		return nil, errors.Wrapf(err, "reply from %s", t.VM)
 	}
 	return reply, nil
 }
 
-// suspect drops a session whose peer let a call run out of time, so that the
-// next call dials anew and finds out quickly whether the VM is there.
-func (m *Manager) suspect(t Target) {
+// dropUnresponsive closes the session of a peer that let a call time out, unless
+// other streams use it. The next call then dials again and fails quickly if the
+// VM is gone.
+func (m *Manager) dropUnresponsive(t Target) {
 	m.mu.Lock()
 	s := m.sessions[t.key()]
 	m.mu.Unlock()
@@ -245,53 +246,53 @@
 	}
 }
 
-func (m *Manager) session(t Target) (*session, error) {
+func (m *Manager) sessionFor(t Target) (*session, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	s, ok := m.sessions[t.key()]
 	if ok {
 		return s, nil
 	}
-	if len(m.sessions) >= maxSessions {
-		return nil, errors.Mark(errors.Wrapf(ErrBusy, "%d sessions, %s", maxSessions, t.VM), ErrUnreachable)
+	if len(m.sessions) >= maxOutboundSessions {
+		return nil, errors.Mark(errors.Wrapf(ErrBusy, "%d sessions, %s", maxOutboundSessions, t.VM), ErrUnreachable)
 	}
-	s = &session{pause: newPause()}
+	s = &session{backoff: newDialBackoff()}
 	m.sessions[t.key()] = s
 	return s, nil
 }
 
-// greeted lets a VM that has just opened a session be dialled at once, however
-// often it could not be reached before.
-func (m *Manager) greeted(vm string) {
+// resetBackoff lets a VM that has just opened a session be dialled at once,
+// regardless of earlier failures.
+func (m *Manager) resetBackoff(vm string) {
 	m.mu.Lock()
 	s := m.sessions[vm]
 	m.mu.Unlock()
 	if s != nil {
-		s.pause.end()
+		s.backoff.reset()
 	}
 }
 
 func (s *session) connect(ctx context.Context, m *Manager, t Target) (*yamux.Session, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.used = time.Now()
+	s.lastUsed = time.Now()
 	if s.mux != nil && !s.mux.IsClosed() && s.address == t.Address {
 		return s.mux, nil
 	}
 	if s.address != t.Address {
-		s.pause.end()
+		s.backoff.reset()
 	}
 	s.address = t.Address
-	if failure := s.pause.underWay(); failure != nil {
-		err := errors.Wrapf(failure, "%s, not tried again yet", t.VM)
-		return nil, errors.Mark(errors.Mark(err, ErrNotYet), ErrUnreachable)
+	if failure := s.backoff.activeFailure(); failure != nil {
+		err := errors.Wrapf(failure, "%s: dial delayed after a failure", t.VM)
+		return nil, errors.Mark(errors.Mark(err, ErrBackoff), ErrUnreachable)
 	}
 	mux, id, err := m.dial(ctx, t)
 	if err != nil {
-		s.pause.begin(err)
+		s.backoff.recordFailure(err)
 		return nil, errors.Mark(errors.Wrapf(err, "%s at %s", t.VM, t.Address), ErrUnreachable)
 	}
-	s.pause.end()
+	s.backoff.reset()
 	s.mux = mux
 	s.peer = id
 	return mux, nil
@@ -327,7 +328,7 @@
 	}
 	id, err := m.hello(conn)
 	if err == nil && t.VM != "" && id.VM != t.VM {
-		err = errors.Wrapf(ErrHello, "meant VM %s, found %s", t.VM, id.VM)
+		err = errors.Wrapf(ErrHello, "expected VM %s, found %s", t.VM, id.VM)
 	}
 	if err != nil {
 		_ = conn.Close()
@@ -341,32 +342,32 @@
 	return mux, id, nil
 }
 
-func (m *Manager) closeIdle() {
+func (m *Manager) sweepLoop() {
 	defer m.wg.Done()
-	ticker := time.NewTicker(idleClose / sessionsPerSweep)
+	ticker := time.NewTicker(idleTimeout / sweepsPerIdleTimeout)
 	defer ticker.Stop()
 	for {
 		select {
 		case <-m.ctx.Done():
 			return
 		case now := <-ticker.C:
-			m.sweep(now)
+			m.closeIdleSessions(now)
 		}
 	}
 }
 
-func (m *Manager) sweep(now time.Time) {
+func (m *Manager) closeIdleSessions(now time.Time) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	for vm, s := range m.sessions {
 		if !s.mu.TryLock() {
-			continue // Being dialled, so in use.
+			continue // A dial holds the lock, so the session is in use.
 		}
 		streams := 0
 		if s.mux != nil {
 			streams = s.mux.NumStreams()
 		}
-		if streams == 0 && now.Sub(s.used) > idleClose {
+		if streams == 0 && now.Sub(s.lastUsed) > idleTimeout {
 			if s.mux != nil {
 				_ = s.mux.Close()
 			}
@@ -376,35 +377,35 @@
 	}
 }
 
-// hello exchanges identities on a new connection and checks the peer's.
+// hello exchanges identities on a new connection and validates the peer's.
 func (m *Manager) hello(conn net.Conn) (Identity, error) {
 	_ = conn.SetDeadline(time.Now().Add(helloTimeout))
 	defer func() { _ = conn.SetDeadline(time.Time{}) }()
-	own := &peerpb.Hello{
+	ownHello := &peerpb.Hello{
 		Version: wire.Version, Fleet: m.cfg.Self.Fleet, Hall: m.cfg.Self.Hall,
 		Vm: m.cfg.Self.VM, Start: m.cfg.Self.Start,
 	}
 	sent := make(chan error, 1)
 	go func() {
-		sent <- wire.NewWriter(conn).Write(&peerpb.Envelope{Kind: &peerpb.Envelope_Hello{Hello: own}})
+		sent <- wire.NewWriter(conn).Write(&peerpb.Envelope{Kind: &peerpb.Envelope_Hello{Hello: ownHello}})
 	}()
-	theirs, err := readHello(conn)
+	peerHello, err := readHello(conn)
 	if sendErr := <-sent; err == nil {
 		err = sendErr
 	}
 	if err != nil {
 		return Identity{}, err
 	}
-	id := Identity{Fleet: theirs.GetFleet(), Hall: theirs.GetHall(), VM: theirs.GetVm(), Start: theirs.GetStart()}
-	return id, m.check(theirs.GetVersion(), id)
+	id := Identity{Fleet: peerHello.GetFleet(), Hall: peerHello.GetHall(), VM: peerHello.GetVm(), Start: peerHello.GetStart()}
+	return id, m.checkHello(peerHello.GetVersion(), id)
 }
 
-func (m *Manager) check(version uint32, id Identity) error {
+func (m *Manager) checkHello(version uint32, id Identity) error {
 	switch {
 	case version != wire.Version:
-		return errors.Wrapf(ErrHello, "%s speaks version %d, want %d", id.VM, version, wire.Version)
+		return errors.Wrapf(ErrHello, "%s has protocol version %d, want %d", id.VM, version, wire.Version)
 	case id.Fleet != m.cfg.Self.Fleet:
-		return errors.Wrapf(ErrHello, "%s is of fleet %q, want %q", id.VM, id.Fleet, m.cfg.Self.Fleet)
+		return errors.Wrapf(ErrHello, "%s belongs to fleet %q, want %q", id.VM, id.Fleet, m.cfg.Self.Fleet)
 	case m.cfg.Allow != nil:
 		return errors.Mark(errors.Wrapf(m.cfg.Allow(id), "%s", id.VM), ErrHello)
 	}
--- a/transport/peer/peer_test.go
+++ b/transport/peer/peer_test.go
@@ -28,33 +28,32 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// echo answers a Find with a Found that holds the id.
+// echo answers a Find with a Found whose record is the requested id.
 func echo(_ context.Context, _ peer.Identity, s *peer.Stream, first *peerpb.Envelope) {
 	_ = s.Write(&peerpb.Envelope{Kind: &peerpb.Envelope_Found{Found: &peerpb.Found{Record: []byte(first.GetFind().GetId())}}})
 }
 
-// start runs a manager as a VM, with TLS from files if set, and returns it with
-// its address.
-func start(t *testing.T, vm, fleet string, files tlsfiles.Files) (*peer.Manager, string) {
+// startManager runs a manager on a free port and returns it with its address.
+func startManager(t *testing.T, vm, fleet string, files tlsfiles.Files) (*peer.Manager, string) {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	return serve(t, l, vm, fleet, files), l.Addr().String()
+	return serveManager(t, l, vm, fleet, files), l.Addr().String()
 }
 
-// startAt does the same at an address that was in use before.
-func startAt(t *testing.T, address, vm, fleet string, files tlsfiles.Files) *peer.Manager {
+// startManagerAt runs a manager on the given address.
+func startManagerAt(t *testing.T, address, vm, fleet string, files tlsfiles.Files) *peer.Manager {
 	t.Helper()
 	l, err := net.Listen("tcp", address)
 	if err != nil {
 		t.Fatal(err)
 	}
-	return serve(t, l, vm, fleet, files)
+	return serveManager(t, l, vm, fleet, files)
 }
 
-func serve(t *testing.T, l net.Listener, vm, fleet string, files tlsfiles.Files) *peer.Manager {
+func serveManager(t *testing.T, l net.Listener, vm, fleet string, files tlsfiles.Files) *peer.Manager {
 	t.Helper()
 	cfg := peer.Config{Self: peer.Identity{Fleet: fleet, Hall: "a", VM: vm, Start: 1}, Handler: echo}
 	if files.Set() {
@@ -77,7 +76,7 @@
 	return m
 }
 
-func call(m *peer.Manager, vm, address string) (string, error) {
+func callFind(m *peer.Manager, vm, address string) (string, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
 	defer cancel()
 	reply, err := m.Call(ctx, peer.Target{VM: vm, Address: address}, &peerpb.Envelope{Kind: &peerpb.Envelope_Find{Find: &peerpb.Find{Id: "d1"}}})
@@ -95,30 +94,30 @@
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
-			a, _ := start(t, "a1", "f", tlsfiles.Files{})
-			_, address := start(t, "b1", c.fleet, tlsfiles.Files{})
-			got, err := call(a, c.meant, address)
+			a, _ := startManager(t, "a1", "f", tlsfiles.Files{})
+			_, address := startManager(t, "b1", c.fleet, tlsfiles.Files{})
+			got, err := callFind(a, c.meant, address)
 			if c.ok != (err == nil && got == "d1") {
 				t.Fatalf("%q, %v", got, err)
 			}
 			if err != nil && !errors.Is(err, peer.ErrUnreachable) {
-				t.Fatalf("%v does not say that nothing was sent", err)
+				t.Fatalf("error %v, want ErrUnreachable", err)
 			}
 		})
 	}
 }
 
-// authority signs certificates for a test.
-type authority struct {
+// testCA is a certificate authority with its files in a temporary directory.
+type testCA struct {
 	t    *testing.T
 	dir  string
 	cert *x509.Certificate
 	key  *ecdsa.PrivateKey
 }
 
-func newAuthority(t *testing.T, name string) *authority {
+func newTestCA(t *testing.T, name string) *testCA {
 	t.Helper()
-	a := &authority{t: t, dir: t.TempDir()}
+	a := &testCA{t: t, dir: t.TempDir()}
 	template := &x509.Certificate{
 		SerialNumber: big.NewInt(1), Subject: pkix.Name{CommonName: name}, IsCA: true, BasicConstraintsValid: true,
 		NotBefore: time.Now().Add(-time.Hour), NotAfter: time.Now().Add(time.Hour), KeyUsage: x509.KeyUsageCertSign,
@@ -135,7 +134,7 @@
 	return a
 }
 
-func (a *authority) newKey() *ecdsa.PrivateKey {
+func (a *testCA) newKey() *ecdsa.PrivateKey {
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
 		a.t.Fatal(err)
@@ -143,7 +142,7 @@
 	return key
 }
 
-func (a *authority) write(name, kind string, raw []byte) string {
+func (a *testCA) write(name, kind string, raw []byte) string {
 	path := filepath.Join(a.dir, name)
 	if err := os.WriteFile(path, pem.EncodeToMemory(&pem.Block{Type: kind, Bytes: raw}), 0o600); err != nil {
 		a.t.Fatal(err)
@@ -151,8 +150,8 @@
 	return path
 }
 
-// issue writes a certificate and its key over those of the same name.
-func (a *authority) issue(name string) tlsfiles.Files {
+// issue writes a certificate and key, and replaces earlier ones of the same name.
+func (a *testCA) issue(name string) tlsfiles.Files {
 	key := a.newKey()
 	template := &x509.Certificate{
 		SerialNumber: big.NewInt(time.Now().UnixNano()), Subject: pkix.Name{CommonName: name},
@@ -172,39 +171,38 @@
 	}
 }
 
-// Only VMs whose certificate the fleet's authority signed talk to each other.
+// Guards against accepting peers whose certificate the fleet's CA did not sign.
 func TestMutualTLS(t *testing.T) {
-	own, other := newAuthority(t, "own"), newAuthority(t, "other")
-	_, address := start(t, "b1", "f", own.issue("b1"))
+	own, other := newTestCA(t, "own"), newTestCA(t, "other")
+	_, address := startManager(t, "b1", "f", own.issue("b1"))
 	cases := map[string]struct {
 		files tlsfiles.Files
 		ok    bool
 	}{
-		"signed by the fleet's": {own.issue("a1"), true},
-		"signed by another's":   {other.issue("a1"), false},
-		"no TLS at all":         {tlsfiles.Files{}, false},
+		"signed by the fleet's CA": {own.issue("a1"), true},
+		"signed by another CA":     {other.issue("a1"), false},
+		"no TLS":                   {tlsfiles.Files{}, false},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
-			a, _ := start(t, "a1", "f", c.files)
-			if got, err := call(a, "b1", address); c.ok != (err == nil && got == "d1") {
+			a, _ := startManager(t, "a1", "f", c.files)
+			if got, err := callFind(a, "b1", address); c.ok != (err == nil && got == "d1") {
 				t.Fatalf("%q, %v", got, err)
 			}
 		})
 	}
 }
 
-// A certificate that is written anew is used without a restart; one that cannot
-// be read leaves the former in force.
-func TestCertificatesAreReadAgain(t *testing.T) {
-	old, renewed := newAuthority(t, "old"), newAuthority(t, "renewed")
+// Guards against needing a restart for a new certificate, and against losing the old one while files are half written.
+func TestCertificateReload(t *testing.T) {
+	old, renewed := newTestCA(t, "old"), newTestCA(t, "renewed")
 	files := old.issue("b1")
-	_, address := start(t, "b1", "f", files)
+	_, address := startManager(t, "b1", "f", files)
 	if err := os.WriteFile(files.Key, []byte("half written"), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	a, _ := start(t, "a1", "f", old.issue("a1"))
-	if _, err := call(a, "b1", address); err != nil {
+	a, _ := startManager(t, "a1", "f", old.issue("a1"))
+	if _, err := callFind(a, "b1", address); err != nil {
 		t.Fatal(err)
 	}
 	next := renewed.issue("b1")
@@ -213,23 +211,22 @@
 			t.Fatal(err)
 		}
 	}
-	c, _ := start(t, "c1", "f", tlsfiles.Files{Cert: files.Cert, Key: files.Key, CA: files.CA})
+	c, _ := startManager(t, "c1", "f", tlsfiles.Files{Cert: files.Cert, Key: files.Key, CA: files.CA})
 	deadline := time.Now().Add(10 * time.Second)
 	for {
-		if _, err := call(c, "b1", address); err == nil {
+		if _, err := callFind(c, "b1", address); err == nil {
 			return
 		}
 		if time.Now().After(deadline) {
-			t.Fatal("the new certificate is not used")
+			t.Fatal("the renewed certificate is not used")
 		}
 		time.Sleep(50 * time.Millisecond)
 	}
 }
 
-// TestPeerThatGreetsIsReachedAtOnce shows that the wait after failed dials ends
-// when the peer itself shows that it is there.
+// Guards against delaying the dial of a peer that has opened a session itself since the failures.
 func TestPeerThatGreetsIsReachedAtOnce(t *testing.T) {
-	a, addressA := start(t, "a1", "f", tlsfiles.Files{})
+	a, addressA := startManager(t, "a1", "f", tlsfiles.Files{})
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -237,22 +234,22 @@
 	addressB := l.Addr().String()
 	_ = l.Close()
 
-	// The wait after the sixth failure is 0.38 s or more.
+	// The delay after this many failures outlasts the rest of the test.
 	const failures = 6
 	for dials := 0; dials < failures; time.Sleep(10 * time.Millisecond) {
-		_, err := call(a, "b1", addressB)
+		_, err := callFind(a, "b1", addressB)
 		if err == nil {
-			t.Fatal("a VM that is not there answered")
+			t.Fatal("call to a closed address succeeded")
 		}
-		if !errors.Is(err, peer.ErrNotYet) {
+		if !errors.Is(err, peer.ErrBackoff) {
 			dials++
 		}
 	}
-	b := startAt(t, addressB, "b1", "f", tlsfiles.Files{})
-	if _, err := call(b, "a1", addressA); err != nil {
+	b := startManagerAt(t, addressB, "b1", "f", tlsfiles.Files{})
+	if _, err := callFind(b, "a1", addressA); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := call(a, "b1", addressB); err != nil {
-		t.Errorf("a1 has heard of b1, but: %v", err)
+	if _, err := callFind(a, "b1", addressB); err != nil {
+		t.Errorf("call after the peer's own session: %v", err)
 	}
 }
--- a/transport/peer/stream.go
+++ b/transport/peer/stream.go
@@ -17,8 +17,8 @@
 	"github.com/ryehill/ryehill/protocol/wire"
 )
 
-// Stream is one exchange with a peer. One goroutine may read while another
-// writes.
+// Stream is a bidirectional message stream to a peer. One goroutine may read
+// while another writes.
 type Stream struct {
 	raw    *yamux.Stream
 	reader *wire.Reader
@@ -26,11 +26,11 @@
 	peer   string
 }
 
-func newStream(raw *yamux.Stream, peer string) *Stream {
-	return &Stream{raw: raw, reader: wire.NewReader(raw), writer: wire.NewWriter(raw), peer: peer}
+func newStream(raw *yamux.Stream, vm string) *Stream {
+	return &Stream{raw: raw, reader: wire.NewReader(raw), writer: wire.NewWriter(raw), peer: vm}
 }
 
-// Peer returns the VM id of the other end.
+// Peer returns the id of the peer's VM.
 func (s *Stream) Peer() string { return s.peer }
 
 // Read reads one message. It returns io.EOF once the peer has closed its side.
@@ -39,28 +39,28 @@
 // Write writes one message.
 func (s *Stream) Write(e *peerpb.Envelope) error { return s.writer.Write(e) }
 
-// SetReadDeadline bounds reads; the zero time takes the bound off.
+// SetReadDeadline sets the deadline of reads; the zero time removes it.
 func (s *Stream) SetReadDeadline(t time.Time) { _ = s.raw.SetReadDeadline(t) }
 
-// SetWriteDeadline bounds writes; the zero time takes the bound off.
+// SetWriteDeadline sets the deadline of writes; the zero time removes it.
 func (s *Stream) SetWriteDeadline(t time.Time) { _ = s.raw.SetWriteDeadline(t) }
 
-// Close ends the stream in both directions.
+// Close closes the stream in both directions.
 func (s *Stream) Close() {
 	_ = s.raw.Close()
-	// Close alone leaves the other direction open; a deadline in the past
-	// wakes a reader that still waits.
+	// yamux closes only the sending side; a deadline in the past unblocks a
+	// pending read.
 	_ = s.raw.SetReadDeadline(time.Unix(1, 0))
 }
 
-// CloseWith closes the stream once ctx ends. The returned function takes that
-// back.
-func (s *Stream) CloseWith(ctx context.Context) func() bool {
+// CloseOnDone closes the stream once ctx ends. The returned function cancels
+// this, as that of context.AfterFunc does.
+func (s *Stream) CloseOnDone(ctx context.Context) func() bool {
 	return context.AfterFunc(ctx, s.Close)
 }
 
-// Serve accepts sessions until the listener fails or the manager is closed. A
-// peer that misbehaves loses its session and nothing more.
+// Serve accepts sessions until the listener fails or is closed, or the manager is
+// closed. A connection that fails does not affect the others.
 func (m *Manager) Serve(l net.Listener) error {
 	for {
 		conn, err := l.Accept()
@@ -94,26 +94,26 @@
 		return
 	}
 	defer func() { _ = mux.Close() }()
-	if !m.keep(mux) {
+	if !m.registerInbound(mux) {
 		m.cfg.Log.Info("peer: too many sessions", "remote", remote)
 		return
 	}
-	defer m.release(mux)
-	m.greeted(id.VM)
+	defer m.unregisterInbound(mux)
+	m.resetBackoff(id.VM)
 	m.acceptStreams(mux, id)
 }
 
-func (m *Manager) keep(mux *yamux.Session) bool {
+func (m *Manager) registerInbound(mux *yamux.Session) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if m.ctx.Err() != nil || len(m.inbound) >= maxInbound {
+	if m.ctx.Err() != nil || len(m.inbound) >= maxInboundSessions {
 		return false
 	}
 	m.inbound[mux] = struct{}{}
 	return true
 }
 
-func (m *Manager) release(mux *yamux.Session) {
+func (m *Manager) unregisterInbound(mux *yamux.Session) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	delete(m.inbound, mux)
@@ -128,7 +128,7 @@
 			return
 		}
 		select {
-		case m.streams <- struct{}{}:
+		case m.streamSlots <- struct{}{}:
 		default:
 			_ = raw.Close()
 			m.cfg.Log.Info("peer: too many streams", "peer", id.VM)
@@ -137,7 +137,7 @@
 		m.wg.Add(1)
 		go func() {
 			defer m.wg.Done()
-			defer func() { <-m.streams }()
+			defer func() { <-m.streamSlots }()
 			m.serveStream(ctx, newStream(raw, id.VM), id)
 		}()
 	}
@@ -145,7 +145,7 @@
 
 func (m *Manager) serveStream(ctx context.Context, s *Stream, id Identity) {
 	defer s.Close()
-	s.SetReadDeadline(time.Now().Add(firstMessage))
+	s.SetReadDeadline(time.Now().Add(firstMessageTimeout))
 	first, err := s.Read()
 	if err != nil {
 		if !errors.Is(err, io.EOF) {
@@ -157,8 +157,8 @@
 	m.cfg.Handler(ctx, id, s, first)
 }
 
-// readHello reads the one message that comes before the session. It reads byte
-// by byte, so that nothing of the session is taken from the connection.
+// readHello reads the hello that precedes the yamux session. It reads without
+// buffering, so that no bytes of the session are consumed.
 func readHello(conn net.Conn) (*peerpb.Hello, error) {
 	e, err := wire.ReadUnbuffered(conn)
 	if err != nil {
@@ -166,7 +166,7 @@
 	}
 	h := e.GetHello()
 	if h == nil {
-		return nil, errors.Wrap(ErrHello, "first message is no hello")
+		return nil, errors.Wrap(ErrHello, "first message is not a hello")
 	}
 	return h, nil
 }
--- a/transport/platform/client.go
+++ b/transport/platform/client.go
@@ -3,15 +3,15 @@
 
 // Package platform is the client of the platform's object API.
 //
-// Objects are JSON over HTTP with their version as a strong ETag. A write is
+// Objects are JSON over HTTP with their version as a strong ETag. A write can be
 // conditional (RFC 9110, sections 13.1.1 and 13.1.2) and carries an operation
-// id, which the platform keeps with the object. If the answer to a write is
-// lost, the client reads back: its own operation id settles that the write took
-// effect, and an unchanged version allows the same write to be sent again, as
-// the condition lets only one of them through.
+// id, which the platform stores with the object. If the response to a write is
+// lost, the client reads the object back. If it has the write's operation id,
+// the write took effect; if its version is unchanged, the client sends the write
+// again, since the condition lets only one of the two succeed.
 //
-// Calls are bounded by two limiters, one for reads and one for writes. A watch
-// counts as one read for each poll.
+// Reads and writes have a rate limiter each. Each poll of a watch counts as one
+// read.
 //
 // # Usage
 //
@@ -39,47 +39,47 @@
 	"github.com/ryehill/ryehill/state/spec"
 )
 
-// Errors of the client. Every other error means that the platform is away or
-// that its answer was lost.
+// Errors of the client. Any other error means that the platform is unavailable
+// or that its response was lost.
 var (
 	// ErrNotFound reports an object that does not exist.
 	ErrNotFound = errors.New("platform: no such object")
-	// ErrConflict reports a condition that did not hold. The write did not
-	// take effect.
+	// ErrConflict reports that the condition of a write did not hold. The
+	// write did not take effect.
 	ErrConflict = errors.New("platform: object has another version")
-	// ErrUnresolved reports a write of which the client could not find out
-	// whether it took effect.
+	// ErrUnresolved reports a write that may or may not have taken effect.
 	ErrUnresolved = errors.New("platform: outcome of the write is unknown")
-	// ErrRefused reports a request that the platform calls malformed.
+	// ErrRefused reports a request that the platform rejected as malformed.
 	ErrRefused = errors.New("platform: request refused")
 )
 
-// HeaderOperation carries the operation id of a write.
+// HeaderOperation is the header for the operation id of a write.
 const HeaderOperation = "Operation-Id"
 
 const (
 	defaultTimeout   = 3 * time.Second
 	defaultReadRate  = 20
 	defaultWriteRate = 5
-	// WatchTime is how long the platform holds a watch without changes.
-	WatchTime = 30 * time.Second
+	// WatchHold is how long the platform holds a watch without changes.
+	WatchHold = 30 * time.Second
 )
 
-// Config sets up a Client. Address is required.
+// Config configures a Client. Address is required.
 type Config struct {
 	// Address is the platform's IP:port.
 	Address string
-	// Client sends the calls. Default: an http.Client without proxy.
+	// Client sends the requests. Default: an http.Client without proxy.
 	Client *http.Client
 	// Scheme is http or https. Default http.
 	Scheme string
-	// Timeout bounds one call, not counting the time a watch is held.
+	// Timeout limits one call, not counting the hold time of a watch.
+	// Default 3 s.
 	Timeout time.Duration
-	// ReadRate and WriteRate bound calls a second. Defaults 20 and 5.
+	// ReadRate and WriteRate limit the calls per second. Defaults 20 and 5.
 	ReadRate, WriteRate float64
 }
 
-// Client talks to the platform. It is safe for concurrent use.
+// Client is a client of the platform. It is safe for concurrent use.
 type Client struct {
 	cfg    Config
 	base   string
@@ -112,22 +112,22 @@
 	}
 }
 
-// Condition says when a write takes effect.
+// Condition is the precondition of a write.
 type Condition struct {
 	header, value string
 	version       uint64
 }
 
-// IfVersion lets a write through if the object has this version.
+// IfVersion requires that the object has this version.
 func IfVersion(version uint64) Condition {
 	return Condition{"If-Match", etag(version), version}
 }
 
-// IfAbsent lets a write through if there is no such object.
+// IfAbsent requires that the object does not exist.
 func IfAbsent() Condition { return Condition{"If-None-Match", "*", 0} }
 
-// Always lets a write through. It suits objects with a single writer whose
-// order does not matter, such as statuses.
+// Always sets no condition. It suits objects with a single writer whose order
+// does not matter, such as statuses.
 func Always() Condition { return Condition{} }
 
 func etag(version uint64) string { return `"` + strconv.FormatUint(version, 10) + `"` }
@@ -158,12 +158,12 @@
 	return list.Objects, nil
 }
 
-// VMs reads the list of VMs if it is of another version than the known one. It
-// reports false if it is not. The list of a large fleet is a hundred kilobytes,
-// and it is asked for every few seconds (RFC 9110, section 13.1.2).
+// VMs reads the list of VMs. It returns false if the list still has the known
+// version; the platform then sends no body, as the list is polled often and large
+// in a large fleet.
 func (c *Client) VMs(ctx context.Context, known uint64) (spec.VMList, bool, error) {
-	body, err := c.readChanged(ctx, "/v1/vms", c.cfg.Timeout, known)
-	if errors.Is(err, errUnchanged) {
+	body, err := c.readIfChanged(ctx, "/v1/vms", c.cfg.Timeout, known)
+	if errors.Is(err, errNotModified) {
 		return spec.VMList{}, false, nil
 	}
 	if err != nil {
@@ -173,8 +173,8 @@
 	return list, true, err
 }
 
-// Watch waits until configuration objects have changed since a revision, at
-// most hold, and returns the changes, or none.
+// Watch waits up to hold for changes of configuration objects since a revision,
+// and returns them, or none.
 func (c *Client) Watch(ctx context.Context, since uint64, hold time.Duration, kinds ...spec.Kind) (spread.Changes, error) {
 	names := make([]string, len(kinds))
 	for i, k := range kinds {
@@ -197,9 +197,9 @@
 }
 
 // Put writes an object and returns its new version. The operation id must be
-// new for every write. It returns ErrConflict if the condition did not hold,
-// ErrUnresolved if the outcome could not be found out, or another error if the
-// write was certainly not sent.
+// unique to the write. It returns ErrConflict if the condition did not hold,
+// ErrUnresolved if the outcome is unknown, and another error if the write
+// certainly did not take effect.
 func (c *Client) Put(ctx context.Context, o spec.Object, cond Condition, operation string) (uint64, error) {
 	o.Operation = operation
 	body, err := json.Marshal(o)
@@ -207,14 +207,14 @@
 		return 0, errors.Wrapf(err, "put %s", o.Key)
 	}
 	attempt := func() (uint64, error) {
-		return c.putOnce(ctx, o.Key, body, cond, operation)
+		return c.sendPut(ctx, o.Key, body, cond, operation)
 	}
 	first, err := attempt()
 	if err == nil || !errors.Is(err, ErrUnresolved) {
 		return first, errors.Wrapf(err, "put %s", o.Key)
 	}
 	version, err := backoff.Retry(ctx, func() (uint64, error) {
-		return c.settle(ctx, o.Key, cond, operation, attempt)
+		return c.resolveWrite(ctx, o.Key, cond, operation, attempt)
 	}, backoff.WithMaxElapsedTime(c.cfg.Timeout))
 	if err != nil && !errors.Is(err, ErrConflict) {
 		err = errors.Mark(err, ErrUnresolved)
@@ -222,9 +222,10 @@
 	return version, errors.Wrapf(err, "put %s", o.Key)
 }
 
-// settle finds out what became of a write whose answer was lost, and sends it
-// again if it certainly has not taken effect yet.
-func (c *Client) settle(ctx context.Context, key spec.Key, cond Condition, operation string, again func() (uint64, error)) (uint64, error) {
+// resolveWrite finds out whether a write whose response was lost took effect. It
+// sends the write again if the version of its condition is unchanged, or if it
+// has no condition.
+func (c *Client) resolveWrite(ctx context.Context, key spec.Key, cond Condition, operation string, resend func() (uint64, error)) (uint64, error) {
 	found, err := c.Get(ctx, key)
 	switch {
 	case errors.Is(err, ErrNotFound):
@@ -236,22 +237,22 @@
 		return found.Version, nil
 	}
 	if cond.header != "" && found.Version < cond.version {
-		return 0, errors.Wrap(ErrUnresolved, "the read lags behind")
+		return 0, errors.Wrap(ErrUnresolved, "the read returned an older version")
 	}
 	if cond.header != "" && found.Version > cond.version {
-		// Another write came after the version that ours was bound to. Ours
-		// may have been before it, so this is not ErrConflict.
+		// Another write has replaced the version of our condition. Ours may
+		// have taken effect before it, so this is not ErrConflict.
 		return 0, backoff.Permanent(errors.Wrap(ErrUnresolved, "another write followed"))
 	}
-	version, err := again()
+	version, err := resend()
 	if errors.Is(err, ErrConflict) {
-		// Either the first one landed in between or another's did: look anew.
-		return 0, errors.Wrap(ErrUnresolved, "condition failed on the second try")
+		// Either our first write or another one took effect meanwhile: read again.
+		return 0, errors.Wrap(ErrUnresolved, "condition failed on the second attempt")
 	}
 	return version, err
 }
 
-func (c *Client) putOnce(ctx context.Context, key spec.Key, body []byte, cond Condition, operation string) (uint64, error) {
+func (c *Client) sendPut(ctx context.Context, key spec.Key, body []byte, cond Condition, operation string) (uint64, error) {
 	if err := c.writes.Wait(ctx); err != nil {
 		return 0, errors.Wrap(err, "write rate")
 	}
@@ -261,15 +262,15 @@
 	if err != nil {
 		return 0, err
 	}
-	// A body without GetBody keeps net/http from sending it a second time on
-	// its own after a connection broke.
+	// Without GetBody, net/http cannot send the body again by itself after a
+	// connection failure.
 	req.GetBody = nil
 	req.Header.Set("Content-Type", "application/json")
 	req.Header.Set(HeaderOperation, operation)
 	if cond.header != "" {
 		req.Header.Set(cond.header, cond.value)
 	}
-	answer, status, err := c.send(req)
+	response, status, err := c.send(req)
 	if err != nil {
 		return 0, errors.Mark(err, ErrUnresolved)
 	}
@@ -277,20 +278,20 @@
 	case status == http.StatusPreconditionFailed:
 		return 0, ErrConflict
 	case status == http.StatusBadRequest || status == http.StatusRequestEntityTooLarge:
-		return 0, errors.Wrap(ErrRefused, strings.TrimSpace(string(answer)))
+		return 0, errors.Wrap(ErrRefused, strings.TrimSpace(string(response)))
 	case status == http.StatusTooManyRequests:
 		return 0, errors.New("platform: too many calls")
 	case status != http.StatusOK:
 		return 0, errors.Mark(errors.Newf("status %d", status), ErrUnresolved)
 	}
 	var written spec.Object
-	if err := json.Unmarshal(answer, &written); err != nil {
+	if err := json.Unmarshal(response, &written); err != nil {
 		return 0, errors.Mark(err, ErrUnresolved)
 	}
 	return written.Version, nil
 }
 
-// Delete removes an object. A missing one is no error.
+// Delete deletes an object. It is no error if the object does not exist.
 func (c *Client) Delete(ctx context.Context, key spec.Key) error {
 	if err := c.writes.Wait(ctx); err != nil {
 		return errors.Wrap(err, "write rate")
@@ -308,15 +309,15 @@
 	return errors.Wrapf(err, "delete %s", key)
 }
 
-var errUnchanged = errors.New("platform: not changed")
+var errNotModified = errors.New("platform: not changed")
 
 func (c *Client) read(ctx context.Context, path string, timeout time.Duration) ([]byte, error) {
-	return c.readChanged(ctx, path, timeout, 0)
+	return c.readIfChanged(ctx, path, timeout, 0)
 }
 
-// readChanged returns errUnchanged if what is read still has a known version,
-// unless that is 0.
-func (c *Client) readChanged(ctx context.Context, path string, timeout time.Duration, known uint64) ([]byte, error) {
+// readIfChanged reads a path. It returns errNotModified if the version is still
+// the known one; a known version of 0 always reads.
+func (c *Client) readIfChanged(ctx context.Context, path string, timeout time.Duration, known uint64) ([]byte, error) {
 	if err := c.reads.Wait(ctx); err != nil {
 		return nil, errors.Wrap(err, "read rate")
 	}
@@ -334,7 +335,7 @@
 	case err != nil:
 		return nil, err
 	case status == http.StatusNotModified:
-		return nil, errUnchanged
+		return nil, errNotModified
 	case status == http.StatusNotFound:
 		return nil, ErrNotFound
 	case status != http.StatusOK:
@@ -350,7 +351,7 @@
 	}
 	defer func() { _ = res.Body.Close() }()
 	// A list of many objects may be larger than one object.
-	const largest = 64 * spec.MaxObjectBytes
-	body, err := io.ReadAll(io.LimitReader(res.Body, largest))
+	const maxBody = 64 * spec.MaxObjectBytes
+	body, err := io.ReadAll(io.LimitReader(res.Body, maxBody))
 	return body, res.StatusCode, errors.Wrapf(err, "platform %s", c.cfg.Address)
 }
--- a/transport/relay/engine.go
+++ b/transport/relay/engine.go
@@ -29,20 +29,22 @@
 	"github.com/ryehill/ryehill/transport/upstream"
 )
 
-// Defaults of Config.
+// Defaults and bounds of Config.
 const (
-	// DefaultQueueTime is how long a request may wait for a slot.
+	// DefaultQueueTime is the default of Config.QueueTime.
 	DefaultQueueTime = 500 * time.Millisecond
-	// DefaultMaxInFlight bounds the requests of callers at one VM.
+	// DefaultMaxInFlight is the default of Config.MaxInFlight.
 	DefaultMaxInFlight = 4096
-	// essentialPart of the requests in flight is kept for essential services.
-	essentialPart = 10
-	// retryAfterFull is when a caller that was refused may come back.
-	retryAfterFull = time.Second
+	// essentialReserveDivisor sets the share of MaxInFlight that is reserved for
+	// essential services: one part in this many.
+	essentialReserveDivisor = 10
+	// fullRetryAfter is the Retry-After of requests refused for lack of
+	// capacity or of a usable upstream.
+	fullRetryAfter = time.Second
 )
 
-// Config sets up an Engine. All fields but the durations and counts are
-// required.
+// Config configures an Engine. All fields but QueueTime, MaxInFlight and NoSpill
+// are required.
 type Config struct {
 	Self      peer.Identity
 	Log       logr.Logger
@@ -63,20 +65,22 @@
 	// Owners returns the other VMs of the hall that own upstreams of a
 	// service.
 	Owners func(service string) []string
-	// QueueTime is how long a request may wait for a slot.
+	// QueueTime is how long a request may wait for a slot. Default
+	// DefaultQueueTime.
 	QueueTime time.Duration
-	// MaxInFlight bounds the requests of callers under way.
+	// MaxInFlight limits the requests of callers in flight. Default
+	// DefaultMaxInFlight.
 	MaxInFlight int
-	// NoSpill keeps requests from other VMs of the hall; it is the baseline
-	// of measurements.
+	// NoSpill disables sending requests to other VMs of the hall, as a
+	// baseline for measurements.
 	NoSpill bool
 }
 
-// Engine carries requests. It is safe for concurrent use.
+// Engine steers and forwards requests. It is safe for concurrent use.
 type Engine struct {
 	cfg      Config
 	inFlight atomic.Int64
-	number   atomic.Uint64
+	sequence atomic.Uint64
 	stopping atomic.Bool
 }
 
@@ -91,53 +95,54 @@
 	return &Engine{cfg: cfg}
 }
 
-// InFlight returns how many requests of callers are under way.
+// InFlight returns the number of requests of callers in flight.
 func (e *Engine) InFlight() int { return int(e.inFlight.Load()) }
 
-// StopNew makes the engine refuse every request from now on as not run.
-// Requests under way go on.
+// StopNew makes the engine refuse every new request as not run. Requests in
+// flight continue.
 func (e *Engine) StopNew() { e.stopping.Store(true) }
 
-// NextID returns a new decision id. It names the VM, so that any VM can find
-// who holds the record.
+// NextID returns a new decision id. It contains the VM's id, so that any VM can
+// find the one that holds the record.
 func (e *Engine) NextID() string {
 	return e.cfg.Self.VM + "." + strconv.FormatUint(e.cfg.Self.Start, 36) + "." +
-		strconv.FormatUint(e.number.Add(1), 36)
+		strconv.FormatUint(e.sequence.Add(1), 36)
 }
 
-// served is how a request ended.
-type served struct {
+// serveResult is the outcome of a request. moved is set if it ran, or may have
+// run, in another hall.
+type serveResult struct {
 	result
 	moved bool
 }
 
-// Serve carries one request of a caller; id is from NextID. It returns nil once
-// the sink has the whole answer. If it returns a failure and Head was not
-// called, the caller of Serve answers with the failure.
+// Serve serves one request of a caller; id is from NextID. It returns nil once
+// the complete response has been written to the sink. If it returns a failure and
+// Sink.Head was not called, its caller must respond with the failure.
 func (e *Engine) Serve(ctx context.Context, id string, r *Request, sink Sink) *outcome.Failure {
 	started := time.Now()
 	r.id = id
 	service, failure := e.admit(r)
 	if failure != nil {
-		failure = e.refuseTicket(r, failure)
+		failure = e.consumeTicket(r, failure)
 		e.cfg.Metrics.Refused(string(failure.Code()))
 		return failure
 	}
 	defer e.inFlight.Add(-1)
 	e.cfg.Meter.Begin(r.Service)
 	r.once = service.IsOnce(r.Method)
-	r.deadline = started.Add(allowed(service, r))
-	var out served
+	r.deadline = started.Add(requestTimeout(service, r))
+	var out serveResult
 	if r.once {
 		out = e.serveOnce(ctx, r, sink)
 	} else {
-		out = e.run(ctx, r, sink)
+		out = e.runAttempts(ctx, r, sink)
 	}
-	e.account(r, out, time.Since(started))
+	e.recordMetrics(r, out, time.Since(started))
 	return out.failure
 }
 
-func (e *Engine) account(r *Request, out served, took time.Duration) {
+func (e *Engine) recordMetrics(r *Request, out serveResult, took time.Duration) {
 	e.cfg.Meter.End(r.Service, load.Event{
 		Moved:   out.moved,
 		Refused: out.notRun(),
@@ -149,16 +154,16 @@
 	}
 }
 
-func allowed(s *spec.Service, r *Request) time.Duration {
-	most := s.Timeout.Or(spec.DefaultTimeout)
+func requestTimeout(s *spec.Service, r *Request) time.Duration {
+	limit := s.Timeout.Or(spec.DefaultTimeout)
 	if r.Timeout > 0 {
-		return min(most, r.Timeout)
+		return min(limit, r.Timeout)
 	}
-	return most
+	return limit
 }
 
-// admit refuses what cannot be served, before anything is spent on it. Without
-// a failure, it has counted the request as in flight.
+// admit refuses a request that cannot be served before any work is done for it.
+// Without a failure, it has counted the request as in flight.
 func (e *Engine) admit(r *Request) (*spec.Service, *outcome.Failure) {
 	if e.stopping.Load() {
 		return nil, notRun(outcome.CodeStopping, "admit", errors.New("this VM is stopping"))
@@ -169,11 +174,11 @@
 	}
 	limit := int64(e.cfg.MaxInFlight)
 	if !service.Essential {
-		limit -= limit / essentialPart
+		limit -= limit / essentialReserveDivisor
 	}
 	if e.inFlight.Add(1) > limit {
 		e.inFlight.Add(-1)
-		return nil, notRun(outcome.CodeFull, "admit", errors.Newf("%d requests are in flight", limit)).WithRetryAfter(retryAfterFull)
+		return nil, notRun(outcome.CodeFull, "admit", errors.Newf("%d requests are in flight", limit)).WithRetryAfter(fullRetryAfter)
 	}
 	return service, nil
 }
@@ -182,9 +187,9 @@
 	return outcome.New(code, outcome.NotRun, step, "", cause)
 }
 
-// run steers a request and tries it until it is answered, or another try is
-// not allowed.
-func (e *Engine) run(ctx context.Context, r *Request, sink Sink) served {
+// runAttempts steers a request and attempts it until it succeeds or no further
+// attempt is allowed.
+func (e *Engine) runAttempts(ctx context.Context, r *Request, sink Sink) serveResult {
 	e.cfg.Budget.First()
 	v := e.cfg.View()
 	candidate := e.cfg.Steerer.Arrive(v, r.Service, r.Client)
@@ -194,16 +199,16 @@
 		Inputs:     []decision.Input{{Name: "client", Value: r.Client.String()}, e.slotsInput(r.Service)},
 	}
 	next := e.firstRoute(r, candidate, &d)
-	var out served
+	var out serveResult
 	for number := 1; next != nil; number++ {
 		current := next
-		out.result = e.try(ctx, r, current, sink)
+		out.result = e.tryRoute(ctx, r, current, sink)
 		_, out.moved = current.(hallRoute)
 		out.moved = out.moved && !out.notRun()
-		e.note(&d, number, current, out.result)
+		e.recordAttempt(&d, number, current, out.result)
 		next = nil
 		if out.failure != nil && !out.headSent {
-			next = e.again(ctx, r, current, out.result, number, &d)
+			next = e.nextRoute(ctx, r, current, out.result, number, &d)
 		}
 	}
 	e.cfg.Metrics.Routed(r.Service, d.Rule)
@@ -211,19 +216,19 @@
 	return out
 }
 
-// again asks whether a failed try may be followed by another, and returns its
-// route, or nil.
-func (e *Engine) again(ctx context.Context, r *Request, last route, res result, number int, d *decision.Record) route {
+// nextRoute returns the route of another attempt after a failed one, or nil if
+// the request must not be retried.
+func (e *Engine) nextRoute(ctx context.Context, r *Request, last route, res result, number int, d *decision.Record) route {
 	_, moved := last.(hallRoute)
-	spilled := res.cause == retry.CauseRefused && !moved
+	refusedInHall := res.cause == retry.CauseRefused && !moved
 	verdict := e.cfg.Budget.Decide(retry.Try{
 		Number: number, Cause: res.cause, NotRun: res.notRun(),
-		Repeatable: !r.once, BodyGone: r.Body.Gone(), Home: moved || spilled,
-		Expired: r.expired(ctx, time.Now()), Final: res.cause == retry.CauseFull,
+		Repeatable: !r.once, BodyGone: r.Body.Consumed(), Home: moved || refusedInHall,
+		Expired: r.deadlineExceeded(ctx, time.Now()), Final: res.cause == retry.CauseFull,
 	})
 	e.cfg.Metrics.Retry(string(res.cause), string(verdict))
 	d.Inputs = append(d.Inputs, decision.Input{Name: "another try", Value: string(verdict)})
-	if res.cause == retry.CauseFull && res.failure.Code() == outcome.CodeNoUpstream && !r.Body.Gone() && d.Rule != string(RuleFailover) {
+	if res.cause == retry.CauseFull && res.failure.Code() == outcome.CodeNoUpstream && !r.Body.Consumed() && d.Rule != string(RuleFailover) {
 		if next, ok := e.failover(r, d); ok {
 			return next
 		}
@@ -231,7 +236,7 @@
 	if !verdict.Again() {
 		return nil
 	}
-	if spilled {
+	if refusedInHall {
 		return waitRoute{}
 	}
 	if moved && d.Rule == string(steer.RuleMove) {
@@ -240,13 +245,13 @@
 	return localRoute{}
 }
 
-func (e *Engine) note(d *decision.Record, number int, r route, res result) {
+func (e *Engine) recordAttempt(d *decision.Record, number int, r route, res result) {
 	text := "answered with status " + strconv.Itoa(res.status)
 	if res.failure != nil {
 		text = res.failure.Error() + ", " + string(res.failure.Run())
 	}
-	if res.at != "" {
-		text += " at " + res.at
+	if res.target != "" {
+		text += " at " + res.target
 	}
 	d.Result = text
 	d.Inputs = append(d.Inputs, decision.Input{
@@ -255,7 +260,7 @@
 	})
 }
 
-// slotsInput tells what this VM knows of its own upstreams.
+// slotsInput describes the slots of this VM's own upstreams.
 func (e *Engine) slotsInput(service string) decision.Input {
 	s := e.cfg.Pools.Get(service).Status()
 	return decision.Input{
--- a/transport/relay/local.go
+++ b/transport/relay/local.go
@@ -18,8 +18,8 @@
 	"github.com/ryehill/ryehill/transport/upstream"
 )
 
-// try makes one try along a route.
-func (e *Engine) try(ctx context.Context, r *Request, to route, sink Sink) result {
+// tryRoute makes one attempt along a route.
+func (e *Engine) tryRoute(ctx context.Context, r *Request, to route, sink Sink) result {
 	switch to := to.(type) {
 	case hallRoute:
 		return e.tryHall(ctx, r, to, sink)
@@ -30,38 +30,38 @@
 	}
 }
 
-// tryLocal uses a free slot of this VM, else one of a neighbor that is known to
-// have some, else it waits.
+// tryLocal uses a free slot of this VM, else one of a neighbor that reported free
+// slots, else waits for a slot.
 func (e *Engine) tryLocal(ctx context.Context, r *Request, sink Sink) result {
 	slot, err := e.cfg.Pools.Get(r.Service).TryReserve()
 	if err == nil {
-		return e.runAt(ctx, slot, r.upstreamRequest(), sink)
+		return e.runOnSlot(ctx, slot, r.upstreamRequest(), sink)
 	}
 	if !e.cfg.NoSpill {
-		vm := e.cfg.Neighbors.Take(r.Service, time.Now(), nil)
+		vm := e.cfg.Neighbors.Reserve(r.Service, time.Now(), nil)
 		if vm != "" {
-			defer e.cfg.Neighbors.Back(r.Service, vm)
+			defer e.cfg.Neighbors.Release(r.Service, vm)
 			return e.tryNeighbor(ctx, r, vm, false, sink)
 		}
 	}
 	return e.tryWaiting(ctx, r, sink)
 }
 
-// tryWaiting waits for a slot of this VM or, if it owns no upstream of the
-// service, lets the request wait at a VM of the hall that does.
+// tryWaiting waits for a slot of this VM. If the VM owns no upstream of the
+// service, the request waits at a VM of the hall that does.
 func (e *Engine) tryWaiting(ctx context.Context, r *Request, sink Sink) result {
 	wait, cancel := context.WithTimeout(ctx, min(e.cfg.QueueTime, r.remaining(time.Now())))
 	defer cancel()
 	slot, err := e.cfg.Pools.Get(r.Service).Reserve(wait)
 	switch {
 	case err == nil:
-		return e.runAt(ctx, slot, r.upstreamRequest(), sink)
+		return e.runOnSlot(ctx, slot, r.upstreamRequest(), sink)
 	case errors.Is(err, capacity.ErrNoWorkers) && !e.cfg.NoSpill:
 		if owners := e.cfg.Owners(r.Service); len(owners) > 0 {
-			return e.tryNeighbor(ctx, r, owners[int(e.number.Add(1))%len(owners)], true, sink)
+			return e.tryNeighbor(ctx, r, owners[int(e.sequence.Add(1))%len(owners)], true, sink)
 		}
 	}
-	return failed(retry.CauseFull, reserveFailure(err))
+	return failedAttempt(retry.CauseFull, reserveFailure(err))
 }
 
 func reserveFailure(err error) *outcome.Failure {
@@ -69,7 +69,7 @@
 	if errors.Is(err, capacity.ErrNoWorkers) {
 		code = outcome.CodeNoUpstream
 	}
-	return notRun(code, "reserve a slot", err).WithRetryAfter(retryAfterFull)
+	return notRun(code, "reserve a slot", err).WithRetryAfter(fullRetryAfter)
 }
 
 func (r *Request) upstreamRequest() *upstream.Request {
@@ -82,24 +82,25 @@
 	}
 }
 
-// runAt sends a request to the worker of a slot and passes the answer on.
-func (e *Engine) runAt(ctx context.Context, slot *capacity.Slot, req *upstream.Request, sink Sink) result {
+// runOnSlot sends a request to the worker of a slot, forwards the response to the
+// sink and releases the slot.
+func (e *Engine) runOnSlot(ctx context.Context, slot *capacity.Slot, req *upstream.Request, sink Sink) result {
 	w := slot.Worker()
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	answer, err := e.cfg.Upstreams.Do(ctx, upstream.Worker{ID: w.ID, Address: w.Address, Connections: w.Connections}, req)
+	response, err := e.cfg.Upstreams.Do(ctx, upstream.Worker{ID: w.ID, Address: w.Address, Connections: w.Connections}, req)
 	if err != nil {
-		return e.upstreamFailed(slot, err)
+		return e.upstreamFailure(slot, err)
 	}
-	defer answer.Close()
+	defer response.Close()
 	e.cfg.Metrics.Tried("answered")
-	res := result{status: answer.Status(), headSent: true, at: w.ID}
-	if err := sink.Head(answer.Status(), CleanHeader(answer.Header()), answer.Length()); err != nil {
+	res := result{status: response.Status(), headSent: true, target: w.ID}
+	if err := sink.Head(response.Status(), EndToEndHeader(response.Header()), response.Length()); err != nil {
 		slot.Release(capacity.ResultBroken)
-		res.cause, res.failure = retry.CauseBroken, callerGone(err)
+		res.cause, res.failure = retry.CauseBroken, callerDisconnected(err)
 		return res
 	}
-	res.bytes, err = copyBody(sink, answer.Body())
+	res.bytes, err = copyBody(sink, response.Body())
 	if err != nil {
 		slot.Release(capacity.ResultBroken)
 		res.cause = retry.CauseBroken
@@ -110,7 +111,7 @@
 	return res
 }
 
-func callerGone(err error) *outcome.Failure {
+func callerDisconnected(err error) *outcome.Failure {
 	return outcome.New(outcome.CodeBroken, outcome.Unknown, "answer the caller", "", err)
 }
 
@@ -118,33 +119,34 @@
 	return io.CopyBuffer(onlyWriter{to}, from, make([]byte, wire.ChunkSize))
 }
 
-// onlyWriter hides ReadFrom, so that bodies always pass in bounded pieces.
+// onlyWriter hides ReadFrom, so that io.CopyBuffer copies in bounded chunks.
 type onlyWriter struct{ io.Writer }
 
-// upstreamFailed turns an upstream's failure into a result and teaches the pool.
-func (e *Engine) upstreamFailed(slot *capacity.Slot, err error) result {
+// upstreamFailure converts an upstream error to a result and releases the slot
+// with what the error says of the worker.
+func (e *Engine) upstreamFailure(slot *capacity.Slot, err error) result {
 	var u *upstream.Error
 	if !errors.As(err, &u) {
 		slot.Release(capacity.ResultBroken)
-		return failed(retry.CauseBroken, outcome.New(outcome.CodeBroken, outcome.Unknown, "upstream", slot.Worker().ID, err))
+		return failedAttempt(retry.CauseBroken, outcome.New(outcome.CodeBroken, outcome.Unknown, "upstream", slot.Worker().ID, err))
 	}
 	e.cfg.Metrics.Tried(u.Kind().String())
 	run := outcome.Unknown
 	if u.NotRun() {
 		run = outcome.NotRun
 	}
-	cause, code, learnt := classify(u.Kind())
-	slot.Release(learnt)
+	cause, code, poolResult := classifyUpstreamError(u.Kind())
+	slot.Release(poolResult)
 	f := outcome.New(code, run, u.Step(), slot.Worker().ID, err)
 	if run == outcome.NotRun {
-		f = f.WithRetryAfter(retryAfterFull)
+		f = f.WithRetryAfter(fullRetryAfter)
 	}
-	res := failed(cause, f)
-	res.at = slot.Worker().ID
+	res := failedAttempt(cause, f)
+	res.target = slot.Worker().ID
 	return res
 }
 
-func classify(k upstream.Kind) (retry.Cause, outcome.Code, capacity.Result) {
+func classifyUpstreamError(k upstream.Kind) (retry.Cause, outcome.Code, capacity.Result) {
 	switch k {
 	case upstream.KindUnreachable, upstream.KindOther:
 		return retry.CauseUnreachable, outcome.CodeNoUpstream, capacity.ResultUnreachable
--- a/transport/relay/neighbors.go
+++ b/transport/relay/neighbors.go
@@ -10,32 +10,32 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// neighborFresh is how long the free slots that a VM told are believed.
-const neighborFresh = 5 * time.Second
+// neighborMaxAge is how long a VM's report of free slots is used.
+const neighborMaxAge = 5 * time.Second
 
 const neighborShards = 16
 
-// Neighbors holds how many free slots the other VMs of the hall last told, and
-// takes off what was sent there since. It is safe for concurrent use.
+// Neighbors holds the free slots that the other VMs of the hall last reported,
+// less the requests sent to them since. It is safe for concurrent use.
 type Neighbors struct {
 	shards [neighborShards]neighborShard
 }
 
 type neighborShard struct {
 	mu   sync.Mutex
-	free map[string]map[string]*told // by service, by VM
+	free map[string]map[string]*neighborSlots // by service, by VM
 }
 
-type told struct {
-	free int
-	at   time.Time
+type neighborSlots struct {
+	free       int
+	reportedAt time.Time
 }
 
 // NewNeighbors returns an empty table.
 func NewNeighbors() *Neighbors {
 	n := &Neighbors{}
 	for i := range n.shards {
-		n.shards[i].free = make(map[string]map[string]*told)
+		n.shards[i].free = make(map[string]map[string]*neighborSlots)
 	}
 	return n
 }
@@ -44,44 +44,44 @@
 	return &n.shards[xxhash.Sum64String(service)%neighborShards]
 }
 
-// Told takes in what a VM says of one service.
+// Told stores a VM's report of its free slots for a service.
 func (n *Neighbors) Told(vm, service string, free int, now time.Time) {
 	s := n.shard(service)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	byVM, ok := s.free[service]
 	if !ok {
-		byVM = make(map[string]*told)
+		byVM = make(map[string]*neighborSlots)
 		s.free[service] = byVM
 	}
-	byVM[vm] = &told{free: free, at: now}
+	byVM[vm] = &neighborSlots{free: free, reportedAt: now}
 	for id, t := range byVM {
-		if now.Sub(t.at) > neighborFresh {
+		if now.Sub(t.reportedAt) > neighborMaxAge {
 			delete(byVM, id)
 		}
 	}
 }
 
-// Take returns the VM with the most free slots of a service, with one slot
-// taken off, or "" if none is known to have any.
-func (n *Neighbors) Take(service string, now time.Time, skip map[string]bool) string {
+// Reserve returns the VM with the most free slots of a service and reserves one,
+// or returns "" if no VM has any. VMs in skip are not used.
+func (n *Neighbors) Reserve(service string, now time.Time, skip map[string]bool) string {
 	s := n.shard(service)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	best, most := "", 0
+	bestVM, mostFree := "", 0
 	for vm, t := range s.free[service] {
-		if t.free > most && !skip[vm] && now.Sub(t.at) <= neighborFresh {
-			best, most = vm, t.free
+		if t.free > mostFree && !skip[vm] && now.Sub(t.reportedAt) <= neighborMaxAge {
+			bestVM, mostFree = vm, t.free
 		}
 	}
-	if best != "" {
-		s.free[service][best].free--
+	if bestVM != "" {
+		s.free[service][bestVM].free--
 	}
-	return best
+	return bestVM
 }
 
-// Full notes that a VM refused for lack of room.
-func (n *Neighbors) Full(service, vm string) {
+// MarkFull records that a VM refused a request for lack of capacity.
+func (n *Neighbors) MarkFull(service, vm string) {
 	s := n.shard(service)
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -90,8 +90,8 @@
 	}
 }
 
-// Back notes that a request sent to a VM has ended.
-func (n *Neighbors) Back(service, vm string) {
+// Release returns the slot of a request that has ended.
+func (n *Neighbors) Release(service, vm string) {
 	s := n.shard(service)
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/transport/relay/once.go
+++ b/transport/relay/once.go
@@ -16,59 +16,59 @@
 	"github.com/ryehill/ryehill/state/attempt"
 )
 
-// maxKeptAnswer is the largest answer, in bytes, that is kept for a caller who
-// asks again with the same ticket.
-const maxKeptAnswer = 16 << 10
+// maxStoredResponse is the largest response body, in bytes, that is stored for a
+// caller that repeats a request with the same ticket.
+const maxStoredResponse = 16 << 10
 
-// serveOnce carries a request that may run at most once. Its ticket binds it to
-// one start of one VM; elsewhere it is passed to that VM.
-func (e *Engine) serveOnce(ctx context.Context, r *Request, sink Sink) served {
+// serveOnce serves a request that may run at most once. Its ticket is bound to
+// one start of one VM; any other VM forwards the request to that one.
+func (e *Engine) serveOnce(ctx context.Context, r *Request, sink Sink) serveResult {
 	if r.Ticket == "" {
-		return refusedServe(notRun(outcome.CodeTicketRequired, "check ticket",
+		return failedServe(notRun(outcome.CodeTicketRequired, "check ticket",
 			errors.Newf("%s %s may run only once: send the ticket of a look-up in %s", r.Method, r.Service, outcome.HeaderTicket)))
 	}
 	ticket, err := attempt.ParseTicket(r.Ticket)
 	if err != nil {
-		return refusedServe(notRun(outcome.CodeTicketRefused, "check ticket", err))
+		return failedServe(notRun(outcome.CodeTicketRefused, "check ticket", err))
 	}
 	if ticket.VM() != e.cfg.Self.VM {
-		return e.passOn(ctx, r, ticket.VM(), sink)
+		return e.forwardToTicketVM(ctx, r, ticket.VM(), sink)
 	}
-	claim, first, err := e.cfg.Attempts.Claim(ticket)
+	claim, firstUse, err := e.cfg.Attempts.Claim(ticket)
 	switch {
 	case err != nil:
-		return refusedServe(ticketFailure(err))
-	case first:
-		return e.runClaim(ctx, r, claim, sink)
+		return failedServe(claimFailure(err))
+	case firstUse:
+		return e.runFirstUse(ctx, r, claim, sink)
 	}
-	return e.repeatClaim(ctx, r, claim, sink)
+	return e.replayResponse(ctx, r, claim, sink)
 }
 
-func refusedServe(f *outcome.Failure) served { return served{result: result{failure: f}} }
+func failedServe(f *outcome.Failure) serveResult { return serveResult{result: result{failure: f}} }
 
-// ticketFailure says what a ticket means that cannot be claimed: it may have
-// been used before, or be used yet, so nothing is known of its request.
-func ticketFailure(err error) *outcome.Failure {
+// claimFailure returns the failure for a ticket that cannot be claimed. The
+// ticket may have been used, or be used later, so the outcome is unknown.
+func claimFailure(err error) *outcome.Failure {
 	return outcome.New(outcome.CodeAttemptUnknown, outcome.Unknown, "claim ticket", "", err)
 }
 
-// Refuse turns the refusal of a request that could not even be read into what
-// may be said of its ticket, which may be empty; see refuseTicket.
-func (e *Engine) Refuse(ticket string, refusal *outcome.Failure) *outcome.Failure {
-	return e.refuseTicket(&Request{Ticket: ticket}, refusal)
+// RefuseWithTicket returns the failure for a request that could not be parsed.
+// The ticket may be empty; see consumeTicket.
+func (e *Engine) RefuseWithTicket(ticket string, refusal *outcome.Failure) *outcome.Failure {
+	return e.consumeTicket(&Request{Ticket: ticket}, refusal)
 }
 
-// refuseTicket makes sure that "not run" stays true for a request that is
-// refused at the door: its ticket is used up, so that no copy of the request
-// that comes later can run. If it was used before, that use decides what is
-// said. Tickets of other VMs are out of reach, so nothing is known of theirs.
-func (e *Engine) refuseTicket(r *Request, refusal *outcome.Failure) *outcome.Failure {
+// consumeTicket uses up the ticket of a refused request, so that no later copy of
+// the request can run and "not run" stays true. If the ticket was used before,
+// the failure reports the state of that use. Tickets of other VMs cannot be used
+// up here, so their outcome is unknown.
+func (e *Engine) consumeTicket(r *Request, refusal *outcome.Failure) *outcome.Failure {
 	if r.Ticket == "" {
 		return refusal
 	}
 	ticket, err := attempt.ParseTicket(r.Ticket)
 	if err != nil {
-		return refusal // No VM accepts it.
+		return refusal // No VM accepts a malformed ticket.
 	}
 	claim, first, err := e.cfg.Attempts.Claim(ticket)
 	if err != nil {
@@ -79,45 +79,45 @@
 		return refusal
 	}
 	state, _ := claim.Result()
-	return outcome.New(outcome.CodeAttemptEnded, runOf(state), "ask again", "",
+	return outcome.New(outcome.CodeAttemptEnded, runState(state), "ask again", "",
 		errors.Newf("the first use of this ticket: %s", state))
 }
 
-// passOn sends the request to the VM that its ticket names. If that VM cannot
-// say what became of it, nobody can.
-func (e *Engine) passOn(ctx context.Context, r *Request, vm string, sink Sink) served {
+// forwardToTicketVM forwards a request to the VM that its ticket names. If that
+// VM does not report the outcome, the outcome is unknown.
+func (e *Engine) forwardToTicketVM(ctx context.Context, r *Request, vm string, sink Sink) serveResult {
 	header := r.Header
 	r.Header = header.Clone()
 	r.Header.Set(outcome.HeaderTicket, r.Ticket)
 	res := e.tryPeer(ctx, r, vm, &peerpb.Open{Own: true}, "", sink)
 	r.Header = header
-	if res.failure != nil && !res.headSent && !res.told {
+	if res.failure != nil && !res.headSent && !res.reportedByPeer {
 		res.failure = outcome.New(outcome.CodeAttemptUnknown, outcome.Unknown, "ask the VM of the ticket", vm, res.failure)
 	}
-	return served{result: res}
+	return serveResult{result: res}
 }
 
-// runClaim runs the first use of a ticket.
-func (e *Engine) runClaim(ctx context.Context, r *Request, claim *attempt.Claim, sink Sink) served {
-	out := served{}
+// runFirstUse runs a request as the first use of its ticket.
+func (e *Engine) runFirstUse(ctx context.Context, r *Request, claim *attempt.Claim, sink Sink) serveResult {
+	out := serveResult{}
 	recorder := &recordingSink{next: sink}
 	defer func() {
-		claim.Finish(outcomeOf(out.failure), recorder.answer(out.failure == nil))
+		claim.Finish(attemptOutcome(out.failure), recorder.recorded(out.failure == nil))
 	}()
 	if r.Body.buffered {
-		// The whole request is here: go on if the caller goes away, so that
-		// an answer can be given when it asks again.
+		// The request is complete: continue if the caller disconnects, so that
+		// the response can be stored for a repeat.
 		var cancel context.CancelFunc
-		ctx, cancel = context.WithDeadline(context.WithoutCancel(ctx), r.deadline.Add(progressTime))
+		ctx, cancel = context.WithDeadline(context.WithoutCancel(ctx), r.deadline.Add(progressTimeout))
 		defer cancel()
-		recorder.tolerant = true
+		recorder.ignoreDisconnect = true
 	}
-	out = served{result: result{failure: outcome.New(outcome.CodeBroken, outcome.Unknown, "run", "", nil)}}
-	out = e.run(ctx, r, recorder)
+	out = serveResult{result: result{failure: outcome.New(outcome.CodeBroken, outcome.Unknown, "run", "", nil)}}
+	out = e.runAttempts(ctx, r, recorder)
 	return out
 }
 
-func outcomeOf(f *outcome.Failure) attempt.Outcome {
+func attemptOutcome(f *outcome.Failure) attempt.Outcome {
 	switch {
 	case f == nil:
 		return attempt.OutcomeRan
@@ -127,9 +127,9 @@
 	return attempt.OutcomeUnknown
 }
 
-// repeatClaim answers a caller who asks again: with the kept answer, or with
-// what is known.
-func (e *Engine) repeatClaim(ctx context.Context, r *Request, claim *attempt.Claim, sink Sink) served {
+// replayResponse responds to the repeat of a request with the stored response or,
+// if there is none, with the state of the first use.
+func (e *Engine) replayResponse(ctx context.Context, r *Request, claim *attempt.Claim, sink Sink) serveResult {
 	timer := time.NewTimer(r.remaining(time.Now()))
 	defer timer.Stop()
 	select {
@@ -137,31 +137,31 @@
 	case <-timer.C:
 	case <-ctx.Done():
 	}
-	state, answer := claim.Result()
+	state, response := claim.Result()
 	if state == attempt.OutcomePending {
-		return refusedServe(outcome.New(outcome.CodeAttemptPending, outcome.Unknown, "ask again", "",
+		return failedServe(outcome.New(outcome.CodeAttemptPending, outcome.Unknown, "ask again", "",
 			errors.New("the first use of this ticket is still under way")).WithRetryAfter(time.Second))
 	}
-	if !answer.Kept {
-		return refusedServe(outcome.New(outcome.CodeAttemptEnded, runOf(state), "ask again", "",
+	if !response.Kept {
+		return failedServe(outcome.New(outcome.CodeAttemptEnded, runState(state), "ask again", "",
 			errors.Newf("the first use of this ticket has ended: %s", state)))
 	}
 	header := http.Header{}
-	if answer.ContentType != "" {
-		header.Set("Content-Type", answer.ContentType)
+	if response.ContentType != "" {
+		header.Set("Content-Type", response.ContentType)
 	}
-	out := served{result: result{headSent: true, status: answer.Status, bytes: int64(len(answer.Body))}}
-	err := sink.Head(answer.Status, header, int64(len(answer.Body)))
+	out := serveResult{result: result{headSent: true, status: response.Status, bytes: int64(len(response.Body))}}
+	err := sink.Head(response.Status, header, int64(len(response.Body)))
 	if err == nil {
-		_, err = sink.Write(answer.Body)
+		_, err = sink.Write(response.Body)
 	}
 	if err != nil {
-		out.failure = callerGone(err)
+		out.failure = callerDisconnected(err)
 	}
 	return out
 }
 
-func runOf(o attempt.Outcome) outcome.Run {
+func runState(o attempt.Outcome) outcome.Run {
 	switch o {
 	case attempt.OutcomeRan:
 		return outcome.Ran
@@ -172,54 +172,54 @@
 	return outcome.Unknown
 }
 
-// recordingSink keeps a small answer while it passes it on.
+// recordingSink forwards a response and stores it if it is small.
 type recordingSink struct {
 	next Sink
-	// tolerant goes on recording after the caller has gone.
-	tolerant bool
-	gone     bool
-	status   int
-	content  string
-	body     bytes.Buffer
-	tooLarge bool
+	// ignoreDisconnect continues recording after the caller has disconnected.
+	ignoreDisconnect bool
+	disconnected     bool
+	status           int
+	contentType      string
+	body             bytes.Buffer
+	tooLarge         bool
 }
 
 // Head implements Sink.
 func (s *recordingSink) Head(status int, header http.Header, length int64) error {
 	s.status = status
-	s.content = header.Get("Content-Type")
-	return s.note(s.next.Head(status, header, length))
+	s.contentType = header.Get("Content-Type")
+	return s.handleWriteError(s.next.Head(status, header, length))
 }
 
 // Write implements io.Writer.
 func (s *recordingSink) Write(p []byte) (int, error) {
-	if s.body.Len()+len(p) > maxKeptAnswer {
+	if s.body.Len()+len(p) > maxStoredResponse {
 		s.tooLarge = true
 	}
 	if !s.tooLarge {
 		s.body.Write(p)
 	}
-	if s.gone {
+	if s.disconnected {
 		return len(p), nil
 	}
 	n, err := s.next.Write(p)
-	if s.note(err) == nil {
+	if s.handleWriteError(err) == nil {
 		return len(p), nil
 	}
 	return n, err
 }
 
-func (s *recordingSink) note(err error) error {
-	if err == nil || !s.tolerant {
+func (s *recordingSink) handleWriteError(err error) error {
+	if err == nil || !s.ignoreDisconnect {
 		return err
 	}
-	s.gone = true
+	s.disconnected = true
 	return nil
 }
 
-func (s *recordingSink) answer(whole bool) attempt.Answer {
+func (s *recordingSink) recorded(complete bool) attempt.Answer {
 	return attempt.Answer{
-		Status: s.status, ContentType: s.content, Body: s.body.Bytes(),
-		Kept: whole && !s.tooLarge,
+		Status: s.status, ContentType: s.contentType, Body: s.body.Bytes(),
+		Kept: complete && !s.tooLarge,
 	}
 }
--- a/transport/relay/remote.go
+++ b/transport/relay/remote.go
@@ -20,11 +20,11 @@
 )
 
 const (
-	// progressTime is how long a body may stand still between two VMs.
-	progressTime = 30 * time.Second
-	// answerSlack is what the receiver of a request gets beyond the deadline
-	// to say how it ended.
-	answerSlack = 250 * time.Millisecond
+	// progressTimeout is how long a body may make no progress between two VMs.
+	progressTimeout = 30 * time.Second
+	// responseGrace is how long after the deadline the receiver of a request
+	// may still report its outcome.
+	responseGrace = 250 * time.Millisecond
 )
 
 // tryHall runs a request in another hall under a grant.
@@ -35,7 +35,7 @@
 	if !res.notRun() {
 		return res
 	}
-	// The receiver did not run it for certain, so the move did not happen.
+	// The request certainly did not run there, so it does not count as moved.
 	if to.refund != nil {
 		to.refund()
 	}
@@ -47,22 +47,22 @@
 func (e *Engine) tryNeighbor(ctx context.Context, r *Request, vm string, wait bool, sink Sink) result {
 	res := e.tryPeer(ctx, r, vm, &peerpb.Open{Wait: wait}, "", sink)
 	if res.notRun() {
-		e.cfg.Neighbors.Full(r.Service, vm)
+		e.cfg.Neighbors.MarkFull(r.Service, vm)
 	}
 	if wait && res.cause == retry.CauseRefused {
-		res.cause = retry.CauseFull // It waited there already.
+		res.cause = retry.CauseFull // The request has already waited there.
 	}
 	return res
 }
 
-// remote is one request on its way to another VM.
-type remote struct {
+// peerExchange is one request that is forwarded to another VM.
+type peerExchange struct {
 	engine *Engine
 	ctx    context.Context
 	req    *Request
 	stream *peer.Stream
 	vm     string
-	hall   string // for the link's budget; "" within a hall
+	hall   string // for the link's bandwidth limit; "" within a hall
 	sink   Sink
 	res    result
 }
@@ -70,32 +70,32 @@
 func (e *Engine) tryPeer(ctx context.Context, r *Request, vm string, open *peerpb.Open, hall string, sink Sink) result {
 	member, ok := e.cfg.Members.Member(vm)
 	if !ok {
-		return failed(retry.CauseUnreachable, outcome.New(outcome.CodePeer, outcome.NotRun, "find VM", vm, errors.New("unknown VM")))
+		return failedAttempt(retry.CauseUnreachable, outcome.New(outcome.CodePeer, outcome.NotRun, "find VM", vm, errors.New("unknown VM")))
 	}
-	r.fill(open, time.Now())
+	r.fillOpen(open, time.Now())
 	stream, err := e.cfg.Peers.Open(ctx, peer.Target{VM: vm, Address: member.Peer}, &peerpb.Envelope{Kind: &peerpb.Envelope_Open{Open: open}})
 	if err != nil {
 		run := outcome.Unknown
 		if errors.Is(err, peer.ErrUnreachable) {
 			run = outcome.NotRun
 		}
-		return failed(retry.CauseUnreachable, outcome.New(outcome.CodePeer, run, "open stream", vm, err))
+		return failedAttempt(retry.CauseUnreachable, outcome.New(outcome.CodePeer, run, "open stream", vm, err))
 	}
 	defer stream.Close()
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	stop := stream.CloseWith(ctx)
+	stop := stream.CloseOnDone(ctx)
 	defer stop()
-	m := &remote{res: result{at: "VM " + vm}, engine: e, ctx: ctx, req: r, stream: stream, vm: vm, hall: hall, sink: sink}
+	m := &peerExchange{res: result{target: "VM " + vm}, engine: e, ctx: ctx, req: r, stream: stream, vm: vm, hall: hall, sink: sink}
 	if open.GetEager() {
 		m.sendBody()
 	}
-	m.receive()
+	m.readResponse()
 	return m.res
 }
 
-// fill sets the fields of an Open that describe the request.
-func (r *Request) fill(o *peerpb.Open, now time.Time) {
+// fillOpen sets the fields of an Open that describe the request.
+func (r *Request) fillOpen(o *peerpb.Open, now time.Time) {
 	o.Id = r.id
 	o.Service = r.Service
 	o.Method = r.Method
@@ -109,41 +109,42 @@
 	o.Once = r.once
 }
 
-// sendBody sends the body and its end. Its errors show at the reading side.
-func (m *remote) sendBody() {
+// sendBody sends the body and its end. If it fails, the reader reports the error.
+func (m *peerExchange) sendBody() {
 	body := m.req.Body.Reader()
 	if body != nil {
-		if _, err := copyBody(&chunkWriter{stream: m.stream, pace: m.pace}, body); err != nil {
+		if _, err := copyBody(&chunkWriter{stream: m.stream, throttle: m.waitForLink}, body); err != nil {
 			m.stream.Close()
 			return
 		}
 	}
 	_ = m.stream.Write(&peerpb.Envelope{Kind: &peerpb.Envelope_End{End: &peerpb.End{}}})
-	// The answer is due once the body has gone, however long that took.
+	// The response to a streamed body is due progressTimeout after the body
+	// was sent, however long that took.
 	due := m.req.deadline
 	if !m.req.Body.buffered {
-		due = time.Now().Add(progressTime)
+		due = time.Now().Add(progressTimeout)
 	}
-	m.stream.SetReadDeadline(due.Add(answerSlack))
+	m.stream.SetReadDeadline(due.Add(responseGrace))
 }
 
-func (m *remote) pace(bytes int) error {
+func (m *peerExchange) waitForLink(bytes int) error {
 	if m.hall == "" {
 		return nil
 	}
 	return m.engine.cfg.Links.Wait(m.ctx, m.hall, bytes)
 }
 
-func (m *remote) receive() {
+func (m *peerExchange) readResponse() {
 	for {
 		e, err := m.stream.Read()
 		if err != nil {
-			m.broken("read answer", err)
+			m.failExchange("read answer", err)
 			return
 		}
-		done, err := m.take(e)
+		done, err := m.handleMessage(e)
 		if err != nil {
-			m.broken("pass on the answer", err)
+			m.failExchange("pass on the answer", err)
 			return
 		}
 		if done {
@@ -152,8 +153,9 @@
 	}
 }
 
-// take handles one message of the receiver and reports whether it was the last.
-func (m *remote) take(e *peerpb.Envelope) (done bool, err error) {
+// handleMessage handles one message of the receiver and reports whether it was
+// the last one.
+func (m *peerExchange) handleMessage(e *peerpb.Envelope) (done bool, err error) {
 	switch k := e.GetKind().(type) {
 	case *peerpb.Envelope_Accepted:
 		go m.sendBody()
@@ -163,14 +165,14 @@
 		}
 		m.res.headSent = true
 		m.res.status = int(k.Head.GetStatus())
-		m.stream.SetReadDeadline(time.Now().Add(progressTime))
+		m.stream.SetReadDeadline(time.Now().Add(progressTimeout))
 		return false, m.sink.Head(m.res.status, fromHeaders(k.Head.GetHeaders()), k.Head.GetLength())
 	case *peerpb.Envelope_Chunk:
 		if !m.res.headSent {
 			return true, errors.New("body before head")
 		}
-		m.stream.SetReadDeadline(time.Now().Add(progressTime))
-		if err := m.pace(len(k.Chunk.GetData())); err != nil {
+		m.stream.SetReadDeadline(time.Now().Add(progressTimeout))
+		if err := m.waitForLink(len(k.Chunk.GetData())); err != nil {
 			return true, err
 		}
 		n, err := m.sink.Write(k.Chunk.GetData())
@@ -182,7 +184,7 @@
 		}
 		return true, nil
 	case *peerpb.Envelope_Refused:
-		m.refused(k.Refused)
+		m.handleRefusal(k.Refused)
 		return true, nil
 	default:
 		return true, errors.Newf("unexpected message %T", k)
@@ -190,7 +192,7 @@
 	return false, nil
 }
 
-func (m *remote) refused(r *peerpb.Refused) {
+func (m *peerExchange) handleRefusal(r *peerpb.Refused) {
 	run := outcome.Unknown
 	if r.GetNotRun() && !m.res.headSent {
 		run = outcome.NotRun
@@ -199,7 +201,7 @@
 	if r.GetPeer() != "" {
 		at += "/" + r.GetPeer()
 	}
-	m.res.told = true
+	m.res.reportedByPeer = true
 	m.res.cause = retry.CauseRefused
 	if run != outcome.NotRun {
 		m.res.cause = retry.CauseBroken
@@ -208,21 +210,21 @@
 	m.res.failure = f.WithRetryAfter(time.Duration(r.GetRetryAfterMillis()) * time.Millisecond)
 }
 
-// broken ends a request whose stream failed. Its first message was sent, so an
-// upstream may have run it.
-func (m *remote) broken(step string, err error) {
+// failExchange sets the result after a stream failure. The first message was
+// sent, so an upstream may have run the request.
+func (m *peerExchange) failExchange(step string, err error) {
 	code := outcome.CodeBroken
-	if m.req.expired(m.ctx, time.Now()) {
+	if m.req.deadlineExceeded(m.ctx, time.Now()) {
 		code = outcome.CodeDeadline
 	}
 	m.res.cause = retry.CauseBroken
 	m.res.failure = outcome.New(code, outcome.Unknown, step, m.vm, err)
 }
 
-// chunkWriter sends a body as chunks.
+// chunkWriter sends a body in chunks.
 type chunkWriter struct {
-	stream *peer.Stream
-	pace   func(bytes int) error
+	stream   *peer.Stream
+	throttle func(bytes int) error
 }
 
 // Write implements io.Writer.
@@ -230,10 +232,10 @@
 	sent := 0
 	for sent < len(p) {
 		part := p[sent:min(sent+wire.ChunkSize, len(p))]
-		if err := w.pace(len(part)); err != nil {
+		if err := w.throttle(len(part)); err != nil {
 			return sent, err
 		}
-		w.stream.SetWriteDeadline(time.Now().Add(progressTime))
+		w.stream.SetWriteDeadline(time.Now().Add(progressTimeout))
 		if err := w.stream.Write(&peerpb.Envelope{Kind: &peerpb.Envelope_Chunk{Chunk: &peerpb.Chunk{Data: part}}}); err != nil {
 			return sent, err
 		}
--- a/transport/relay/request.go
+++ b/transport/relay/request.go
@@ -1,19 +1,19 @@
 // Copyright 2026 The ryehill Authors
 // SPDX-License-Identifier: Apache-2.0
 
-// Package relay carries requests from callers to upstreams, here or at another
-// VM, and their answers back.
+// Package relay forwards requests from callers to upstreams, of this VM or of
+// another one, and returns the responses.
 //
-// An Engine takes a request of a caller, asks package steer for its hall,
-// reserves a slot there, sends the request and streams the answer. Whether a
-// failed try is followed by another is asked in one place, package retry. A
-// request that comes from another VM is run at an own upstream or refused; it is
-// never sent on.
+// An Engine chooses a hall for a request with package steer, reserves a slot
+// there, sends the request and streams the response. Package retry decides
+// whether a failed attempt is followed by another. A request from another VM runs
+// at an upstream of this VM or is refused; it is steered again only if it was
+// sent here because its ticket names this VM.
 //
 // # Usage
 //
 //	engine := relay.New(relay.Config{...})
-//	failure := engine.Serve(ctx, request, sink)
+//	failure := engine.Serve(ctx, engine.NextID(), request, sink)
 package relay
 
 import (
@@ -29,9 +29,9 @@
 	"github.com/ryehill/ryehill/protocol/outcome"
 )
 
-// MaxBuffered is the largest body, in bytes, that is held so that it can be
-// sent a second time if the first receiver refused. Larger ones stream.
-const MaxBuffered = 64 << 10
+// MaxBufferedBody is the largest body, in bytes, that is buffered so that it can
+// be sent again in another attempt. Larger bodies are streamed.
+const MaxBufferedBody = 64 << 10
 
 // Request is one request of a caller.
 type Request struct {
@@ -43,9 +43,9 @@
 	Header http.Header
 	Body   *Body
 	Client netip.Addr
-	// Ticket is the text of the ticket, or "".
+	// Ticket is the encoded ticket, or "".
 	Ticket string
-	// Timeout is what the caller allows until the head of the answer, or 0.
+	// Timeout is the caller's limit for the time to the response head, or 0.
 	Timeout time.Duration
 
 	id       string
@@ -56,86 +56,88 @@
 // Body is the body of a request.
 type Body struct {
 	stream   io.Reader
-	held     []byte
+	content  []byte
 	buffered bool
 	length   int64
-	taken    bool
+	consumed bool
 }
 
-// NewBody wraps a body of a length in bytes, or -1 if unknown. A small body of
-// known length is read at once. It returns the reader's error.
+// NewBody wraps a body with its length in bytes, or -1 if unknown. It reads a
+// body of a known length up to MaxBufferedBody at once and returns the reader's
+// error.
 func NewBody(in io.Reader, length int64) (*Body, error) {
 	if in == nil || length == 0 {
 		return &Body{buffered: true}, nil
 	}
-	if length < 0 || length > MaxBuffered {
+	if length < 0 || length > MaxBufferedBody {
 		return &Body{stream: in, length: length}, nil
 	}
-	held := make([]byte, length)
-	if _, err := io.ReadFull(in, held); err != nil {
+	content := make([]byte, length)
+	if _, err := io.ReadFull(in, content); err != nil {
 		return nil, err
 	}
-	return &Body{held: held, buffered: true, length: length}, nil
+	return &Body{content: content, buffered: true, length: length}, nil
 }
 
-// Reader returns the body from its start, or nil for an empty one. A body that
-// is not held can be read once.
+// Reader returns a reader of the body, or nil if it is empty. A body that is not
+// buffered can be read only once.
 func (b *Body) Reader() io.Reader {
 	if b.buffered {
-		if len(b.held) == 0 {
+		if len(b.content) == 0 {
 			return nil
 		}
-		return bytes.NewReader(b.held)
+		return bytes.NewReader(b.content)
 	}
-	return &takenReader{b}
+	return &consumingReader{b}
 }
 
-// Gone reports whether part of the body was read and cannot be had again.
-func (b *Body) Gone() bool { return b.taken }
+// Consumed reports whether part of an unbuffered body has been read, so that it
+// cannot be sent again.
+func (b *Body) Consumed() bool { return b.consumed }
 
-type takenReader struct{ body *Body }
+type consumingReader struct{ body *Body }
 
-func (r *takenReader) Read(p []byte) (int, error) {
-	r.body.taken = true
+func (r *consumingReader) Read(p []byte) (int, error) {
+	r.body.consumed = true
 	return r.body.stream.Read(p)
 }
 
-// Sink takes the answer to a request. Head is called at most once and before
-// Write. If Serve fails after Head, the sink must show the answer as broken.
+// Sink receives the response to a request. Head is called at most once and before
+// Write. If Serve fails after Head, the response must end as incomplete.
 type Sink interface {
 	Head(status int, header http.Header, length int64) error
 	io.Writer
 }
 
-// result is how one try ended.
+// result is the outcome of one attempt.
 type result struct {
-	failure *outcome.Failure // nil if the answer was passed on in full
+	failure *outcome.Failure // nil if the complete response was forwarded
 	cause   retry.Cause
-	// at is the worker that was tried, or the VM that was asked.
-	at       string
+	// target is the worker or VM of the attempt.
+	target   string
 	headSent bool
-	// told is set if the other VM itself said how the request ended.
-	told   bool
-	status int
-	bytes  int64
+	// reportedByPeer is set if the other VM itself reported the failure.
+	reportedByPeer bool
+	status         int
+	bytes          int64
 }
 
 func (r result) notRun() bool { return r.failure != nil && r.failure.Run() == outcome.NotRun }
 
-func failed(cause retry.Cause, f *outcome.Failure) result {
+func failedAttempt(cause retry.Cause, f *outcome.Failure) result {
 	return result{cause: cause, failure: f}
 }
 
-// hopHeaders concern one connection and are not passed on (RFC 9110, section
-// 7.6.1).
-var hopHeaders = []string{
+// hopByHopHeaders apply to one connection and are not forwarded (RFC 9110,
+// section 7.6.1).
+var hopByHopHeaders = []string{
 	"Connection", "Keep-Alive", "Proxy-Authenticate", "Proxy-Authorization", "Proxy-Connection",
 	"Te", "Trailer", "Transfer-Encoding", "Upgrade", "Content-Length", "Expect",
 }
 
-// CleanHeader returns a copy of a header without fields that concern one
-// connection, without those that Connection names, and without ryehill's own.
-func CleanHeader(h http.Header) http.Header {
+// EndToEndHeader returns a copy of a header without hop-by-hop fields, fields
+// that Connection names, and ryehill's own fields.
+func EndToEndHeader(h http.Header) http.Header {
 	clean := make(http.Header, len(h))
 	for name, values := range h {
 		if strings.HasPrefix(name, outcome.Prefix) {
@@ -148,15 +150,15 @@
 			clean.Del(strings.TrimSpace(name))
 		}
 	}
-	for _, name := range hopHeaders {
+	for _, name := range hopByHopHeaders {
 		clean.Del(name)
 	}
 	return clean
 }
 
-// remaining returns how long is left until the request's deadline.
+// remaining returns the time until the request's deadline.
 func (r *Request) remaining(now time.Time) time.Duration { return r.deadline.Sub(now) }
 
-func (r *Request) expired(ctx context.Context, now time.Time) bool {
+func (r *Request) deadlineExceeded(ctx context.Context, now time.Time) bool {
 	return ctx.Err() != nil || !now.Before(r.deadline)
 }
--- a/transport/relay/route.go
+++ b/transport/relay/route.go
@@ -12,26 +12,26 @@
 	"github.com/ryehill/ryehill/state/decision"
 )
 
-// RuleFailover runs a request in another hall since its own has no upstream of
-// the service left. It is no move of an operator's, so no cap covers it; the
-// receiver's grants bound it.
+// RuleFailover sends a request to another hall because its own hall has no usable
+// upstream of the service. It is no move by an operator, so no cap limits it; the
+// receiver's grants do.
 const RuleFailover steer.Rule = "failover"
 
-// route is where a try goes: localRoute, waitRoute or hallRoute.
+// route is the destination of an attempt: localRoute, waitRoute or hallRoute.
 type route interface{ describe() string }
 
-// localRoute runs the request in this hall: at an own upstream, or at one of
-// another VM of the hall if all own slots are in use.
+// localRoute runs the request in this hall: at an upstream of this VM, or of
+// another VM of the hall if all slots of this one are in use.
 type localRoute struct{}
 
-// waitRoute waits for a slot of this VM's own upstreams.
+// waitRoute waits for a slot of this VM's upstreams.
 type waitRoute struct{}
 
-// hallRoute runs it in another hall under a grant.
+// hallRoute runs the request in another hall under a grant.
 type hallRoute struct {
 	hall string
 	use  *capacity.Use
-	// refund gives back what the move was charged, or is nil.
+	// refund returns what the move charged to its cap, or is nil.
 	refund func()
 }
 
@@ -43,9 +43,8 @@
 	return "hall " + r.hall + " at VM " + r.use.Grant().Lender
 }
 
-// firstRoute decides between home and the target of a move. The order of the
-// checks matters: what costs nothing to give back comes first, and the cap is
-// charged last.
+// firstRoute chooses between this hall and the target of a move. The cap is
+// charged last, since the earlier checks can be undone without a refund.
 func (e *Engine) firstRoute(r *Request, c steer.Candidate, d *decision.Record) route {
 	rule := c.Rule()
 	if rule != steer.RuleMove {
@@ -77,8 +76,8 @@
 	return localRoute{}
 }
 
-// failover returns a route to the nearest hall that lends a slot, or false. A
-// slot that was wanted in vain is asked for at the next renewal of grants.
+// failover returns a route to the nearest hall that has granted a slot, or false.
+// For each hall without one, the next renewal of grants requests a slot.
 func (e *Engine) failover(r *Request, d *decision.Record) (route, bool) {
 	for _, hall := range e.cfg.View().Nearest(e.cfg.Self.Hall, r.Service) {
 		use := e.cfg.Holder.Take(capacity.Source{Service: r.Service, Hall: hall})
--- a/transport/relay/serve.go
+++ b/transport/relay/serve.go
@@ -23,30 +23,30 @@
 	"github.com/ryehill/ryehill/transport/upstream"
 )
 
-// maxOpenTimeout bounds what a peer may ask for, in case its message is wrong.
+// maxOpenTimeout limits the timeout that a peer may set.
 const maxOpenTimeout = time.Hour
 
-// ServePeer runs a request that another VM opened on a stream, at an own
-// upstream, or refuses it. It returns once the exchange has ended.
+// ServePeer runs a request from another VM at an upstream of this VM, or refuses
+// it. It returns once the exchange has ended.
 func (e *Engine) ServePeer(ctx context.Context, from peer.Identity, s *peer.Stream, open *peerpb.Open) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	r, err := parseOpen(open)
 	if err != nil {
 		failure := outcome.New(outcome.CodeBadRequest, outcome.NotRun, "parse request", e.cfg.Self.VM, err)
-		refuse(s, e.Refuse(fromHeaders(open.GetHeaders()).Get(outcome.HeaderTicket), failure))
+		writeRefusal(s, e.RefuseWithTicket(fromHeaders(open.GetHeaders()).Get(outcome.HeaderTicket), failure))
 		return
 	}
 	body := newStreamBody(s, cancel)
 	defer body.stop()
 	if open.GetOwn() {
-		e.serveOwn(ctx, r, s, body, open)
+		e.serveForwarded(ctx, r, s, body, open)
 		return
 	}
-	slot, failure := e.reserveFor(ctx, from, open)
+	slot, failure := e.reserveForPeer(ctx, from, open)
 	if failure != nil {
 		e.cfg.Metrics.Refused("peer-" + string(failure.Code()))
-		refuse(s, failure)
+		writeRefusal(s, failure)
 		return
 	}
 	defer slot.Release(capacity.ResultUnused)
@@ -56,12 +56,12 @@
 		}
 	}
 	body.start()
-	res := e.runAt(ctx, slot, r.upstreamRequestFrom(body, open), &streamSink{stream: s})
-	finish(s, res.failure)
+	res := e.runOnSlot(ctx, slot, r.upstreamRequestForPeer(body, open), &streamSink{stream: s})
+	writeEnd(s, res.failure)
 }
 
-// serveOwn handles a request as if its caller had come to this VM.
-func (e *Engine) serveOwn(ctx context.Context, r *Request, s *peer.Stream, body *streamBody, open *peerpb.Open) {
+// serveForwarded serves a request as if the caller had sent it to this VM.
+func (e *Engine) serveForwarded(ctx context.Context, r *Request, s *peer.Stream, body *streamBody, open *peerpb.Open) {
 	if !open.GetEager() {
 		if err := s.Write(&peerpb.Envelope{Kind: &peerpb.Envelope_Accepted{Accepted: &peerpb.Accepted{}}}); err != nil {
 			return
@@ -72,32 +72,32 @@
 	r.Body, err = NewBody(body, open.GetLength())
 	if err != nil {
 		failure := outcome.New(outcome.CodeBroken, outcome.NotRun, "read body", e.cfg.Self.VM, err)
-		refuse(s, e.Refuse(r.Header.Get(outcome.HeaderTicket), failure))
+		writeRefusal(s, e.RefuseWithTicket(r.Header.Get(outcome.HeaderTicket), failure))
 		return
 	}
 	r.Ticket = r.Header.Get(outcome.HeaderTicket)
-	r.Header = CleanHeader(r.Header)
+	r.Header = EndToEndHeader(r.Header)
 	if ticket, err := attempt.ParseTicket(r.Ticket); err != nil || ticket.VM() != e.cfg.Self.VM {
-		refuse(s, outcome.New(outcome.CodeTicketRefused, outcome.Unknown, "check ticket", e.cfg.Self.VM,
+		writeRefusal(s, outcome.New(outcome.CodeTicketRefused, outcome.Unknown, "check ticket", e.cfg.Self.VM,
 			errors.New("the ticket does not name this VM")))
 		return
 	}
-	finish(s, e.Serve(ctx, e.NextID(), r, &streamSink{stream: s}))
+	writeEnd(s, e.Serve(ctx, e.NextID(), r, &streamSink{stream: s}))
 }
 
-func finish(s *peer.Stream, failure *outcome.Failure) {
+func writeEnd(s *peer.Stream, failure *outcome.Failure) {
 	if failure != nil {
-		refuse(s, failure)
+		writeRefusal(s, failure)
 		return
 	}
 	_ = s.Write(&peerpb.Envelope{Kind: &peerpb.Envelope_End{End: &peerpb.End{}}})
 }
 
-// reserveFor takes a slot for another VM: under its grant if it is of another
-// hall, else from what is free.
-func (e *Engine) reserveFor(ctx context.Context, from peer.Identity, open *peerpb.Open) (*capacity.Slot, *outcome.Failure) {
+// reserveForPeer reserves a slot for another VM: under its grant if it is in
+// another hall, else from the free slots.
+func (e *Engine) reserveForPeer(ctx context.Context, from peer.Identity, open *peerpb.Open) (*capacity.Slot, *outcome.Failure) {
 	fail := func(code outcome.Code, err error) (*capacity.Slot, *outcome.Failure) {
-		return nil, outcome.New(code, outcome.NotRun, "reserve a slot", e.cfg.Self.VM, err).WithRetryAfter(retryAfterFull)
+		return nil, outcome.New(code, outcome.NotRun, "reserve a slot", e.cfg.Self.VM, err).WithRetryAfter(fullRetryAfter)
 	}
 	if _, ok := e.cfg.View().Service(open.GetService()); !ok {
 		return fail(outcome.CodeUnknownService, errors.Newf("service %q is unknown", open.GetService()))
@@ -134,7 +134,7 @@
 }
 
 func parseOpen(open *peerpb.Open) (*Request, error) {
-	if !validToken(open.GetMethod()) {
+	if !validMethod(open.GetMethod()) {
 		return nil, errors.Newf("method %q", open.GetMethod())
 	}
 	target := open.GetTarget()
@@ -158,15 +158,15 @@
 	}, nil
 }
 
-func validToken(s string) bool {
+func validMethod(s string) bool {
 	return s != "" && strings.IndexFunc(s, func(c rune) bool {
 		return (c < 'A' || c > 'Z') && (c < 'a' || c > 'z') && c != '-'
 	}) < 0
 }
 
-func (r *Request) upstreamRequestFrom(body *streamBody, open *peerpb.Open) *upstream.Request {
+func (r *Request) upstreamRequestForPeer(body *streamBody, open *peerpb.Open) *upstream.Request {
 	left := max(r.remaining(time.Now()), time.Millisecond)
-	header := CleanHeader(r.Header)
+	header := EndToEndHeader(r.Header)
 	header.Set(upstream.HeaderTimeout, strconv.FormatInt(left.Milliseconds(), 10))
 	req := &upstream.Request{
 		Method: r.Method, Target: r.Target, Host: r.Host, Header: header,
@@ -178,24 +178,24 @@
 	return req
 }
 
-func refuse(s *peer.Stream, f *outcome.Failure) {
+func writeRefusal(s *peer.Stream, f *outcome.Failure) {
 	message := string(f.Code())
 	if cause := f.Unwrap(); cause != nil {
 		message = cause.Error()
 	}
-	s.SetWriteDeadline(time.Now().Add(progressTime))
+	s.SetWriteDeadline(time.Now().Add(progressTimeout))
 	_ = s.Write(&peerpb.Envelope{Kind: &peerpb.Envelope_Refused{Refused: &peerpb.Refused{
 		Code: string(f.Code()), NotRun: f.Run() == outcome.NotRun, Step: f.Step(), Peer: f.Peer(),
 		Message: message, RetryAfterMillis: uint32(f.RetryAfter().Milliseconds()),
 	}}})
 }
 
-// streamSink passes an answer on to the VM that opened the stream.
+// streamSink sends a response to the VM that opened the stream.
 type streamSink struct{ stream *peer.Stream }
 
 // Head implements Sink.
 func (s *streamSink) Head(status int, header http.Header, length int64) error {
-	s.stream.SetWriteDeadline(time.Now().Add(progressTime))
+	s.stream.SetWriteDeadline(time.Now().Add(progressTimeout))
 	return s.stream.Write(&peerpb.Envelope{Kind: &peerpb.Envelope_Head{Head: &peerpb.Head{
 		Status: uint32(status), Headers: toHeaders(header), Length: length,
 	}}})
@@ -203,19 +203,19 @@
 
 // Write implements io.Writer.
 func (s *streamSink) Write(p []byte) (int, error) {
-	w := chunkWriter{stream: s.stream, pace: func(int) error { return nil }}
+	w := chunkWriter{stream: s.stream, throttle: func(int) error { return nil }}
 	return w.Write(p)
 }
 
-// streamBody reads the body of a request from a stream. A pump goes on reading
-// after the end of the body, so that it notices when the opener goes away.
+// streamBody reads a request body from a stream. Its read loop continues after
+// the end of the body, to detect that the opener closes the stream.
 type streamBody struct {
-	stream *peer.Stream
-	cancel context.CancelFunc
-	reader *io.PipeReader
-	writer *io.PipeWriter
-	done   chan struct{}
-	began  bool
+	stream  *peer.Stream
+	cancel  context.CancelFunc
+	reader  *io.PipeReader
+	writer  *io.PipeWriter
+	done    chan struct{}
+	started bool
 }
 
 func newStreamBody(s *peer.Stream, cancel context.CancelFunc) *streamBody {
@@ -224,14 +224,14 @@
 }
 
 func (b *streamBody) start() {
-	b.began = true
-	go b.pump()
+	b.started = true
+	go b.readLoop()
 }
 
-// stop ends the pump; the stream is of no further use.
+// stop ends the read loop. The stream cannot be read afterwards.
 func (b *streamBody) stop() {
 	_ = b.reader.CloseWithError(io.ErrClosedPipe)
-	if b.began {
+	if b.started {
 		b.stream.SetReadDeadline(time.Unix(1, 0))
 		<-b.done
 	}
@@ -240,12 +240,12 @@
 // Read implements io.Reader.
 func (b *streamBody) Read(p []byte) (int, error) { return b.reader.Read(p) }
 
-func (b *streamBody) pump() {
+func (b *streamBody) readLoop() {
 	defer close(b.done)
 	for {
 		e, err := b.stream.Read()
 		if err != nil {
-			// Without an End the body is not whole.
+			// The body is incomplete without an End.
 			_ = b.writer.CloseWithError(io.ErrUnexpectedEOF)
 			b.cancel()
 			return
@@ -253,7 +253,7 @@
 		switch k := e.GetKind().(type) {
 		case *peerpb.Envelope_Chunk:
 			if _, err := b.writer.Write(k.Chunk.GetData()); err != nil {
-				continue // Nobody reads on; watch for the end of the stream.
+				continue // The body has no reader; wait for the end of the stream.
 			}
 		case *peerpb.Envelope_End:
 			_ = b.writer.Close()
