--- a/transport/peer/member.go
+++ b/transport/peer/member.go
@@ -38,9 +38,9 @@
 }
 
 // DecodeNews decodes the member messages of a peer and skips malformed ones.
-func DecodeNews(news []*peerpb.Member) []membership.Member {
-	members := make([]membership.Member, 0, len(news))
-	for _, m := range news {
+func DecodeNews(messages []*peerpb.Member) []membership.Member {
+	members := make([]membership.Member, 0, len(messages))
+	for _, m := range messages {
 		if member, err := DecodeMember(m); err == nil {
 			members = append(members, member)
 		}
