--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -203,22 +203,22 @@
 		NoSpill: d.cfg.NoSpill,
 	})
 	lookup := entry.NewLookup(entry.LookupConfig{View: d.view.Load, Members: d.members, Start: d.askStart})
-	d.entryServer = entry.Server(entry.New(entry.Config{
+	d.entryServer = entry.NewServer(entry.New(entry.Config{
 		Engine: d.engine, Lookup: lookup, Log: d.log, TrustedCallers: d.cfg.TrustedCallers,
 	}))
 	d.traffic = trafficStore{platform: d.platform, metrics: d.metrics}
 	api, err := operator.New(operator.Config{
 		Token: d.cfg.Token, VM: d.cfg.VM, Log: d.log, Platform: d.platform, Store: d.store, View: d.view.Load,
 		Intents: operator.IntentsConfig{
-			VM: d.cfg.VM, Log: d.log, Store: d.traffic, Changed: d.changed,
+			VM: d.cfg.VM, Log: d.log, Store: d.traffic, OnChange: d.changed,
 			View: func(t *spec.Traffic) *view.View { return d.view.Load().WithTraffic(t) },
 		},
-		Members: d.members, Decisions: d.decisions, Metrics: d.metrics, Ready: d.ready, Find: d.findDecision, Own: d.sums,
+		Members: d.members, Decisions: d.decisions, Metrics: d.metrics, Ready: d.ready, FindDecision: d.findDecision, OwnStatus: d.sums,
 	})
 	if err != nil {
 		return err
 	}
-	d.operatorServer = entry.Server(api)
+	d.operatorServer = entry.NewServer(api)
 	return d.listen()
 }
 
--- a/internal/daemon/spread.go
+++ b/internal/daemon/spread.go
@@ -239,11 +239,11 @@
 // hear takes in a probe or the reply to one.
 func (d *Daemon) hear(from string, p *peerpb.Probe) {
 	d.heard.Store(d.now().UnixMilli())
-	d.members.Heard(peer.DecodeNews(p.GetNews()))
+	d.members.Heard(peer.DecodeMembers(p.GetNews()))
 	now := d.now()
 	for service, free := range p.GetFree() {
 		if _, ok := d.view.Load().Service(service); ok {
-			d.neighbors.Told(from, service, int(free), now)
+			d.neighbors.Update(from, service, int(free), now)
 		}
 	}
 	if d.leavers.learn(p.GetLeaving()) {
--- a/internal/daemon/stop.go
+++ b/internal/daemon/stop.go
@@ -35,7 +35,7 @@
 	}
 	sleep(ctx, d.view.Load().Fleet().TTL())
 	d.enter("drain")
-	d.engine.StopNew()
+	d.engine.RefuseNew()
 	for d.inFlight() > 0 {
 		sleep(ctx, stopPoll)
 	}
--- a/internal/gateway/operators.go
+++ b/internal/gateway/operators.go
@@ -19,12 +19,12 @@
 // explanations.
 func (g *Gateway) operatorHandler() http.Handler {
 	return operator.NewGateway(operator.GatewayConfig{
-		Token: g.cfg.Token, Metrics: g.cfg.Metrics, Ready: g.Ready, Find: g.decisions.Find,
+		Token: g.cfg.Token, Metrics: g.cfg.Metrics, Ready: g.Ready, FindDecision: g.decisions.Find,
 		Status: g.status, Traffic: g.traffic,
 		Quarantine: operator.QuarantineConfig{All: g.quarantines.table.All, Release: g.releaseQuarantined},
 		Rollouts:   operator.RolloutsConfig{All: g.rolloutStatuses, Stop: g.stopRollout},
 		Intents: operator.IntentsConfig{
-			VM: g.cfg.VM, Log: g.log, Store: trafficStore{g}, View: g.view, Changed: g.trafficChanged,
+			VM: g.cfg.VM, Log: g.log, Store: trafficStore{g}, View: g.view, OnChange: g.trafficChanged,
 		},
 	})
 }
@@ -33,13 +33,13 @@
 func (g *Gateway) status(ctx context.Context) operator.Status {
 	s := operator.Status{
 		VM: g.cfg.VM, Hall: g.cfg.Hall, Generation: g.trafficVersion(), Platform: "up",
-		Members: []operator.MemberStatus{operator.Member(g.members.Self())},
+		Members: []operator.MemberStatus{operator.NewMemberStatus(g.members.Self())},
 	}
 	if age := g.age(); age > g.cfg.StaleAfter+awayMargin {
 		s.Platform = "away: not heard of for " + age.Round(time.Millisecond).String()
 	}
 	for _, m := range g.members.All() {
-		s.Members = append(s.Members, operator.Member(m))
+		s.Members = append(s.Members, operator.NewMemberStatus(m))
 	}
 	for _, h := range g.hallStatuses(ctx) {
 		s.Halls = append(s.Halls, h)
--- a/internal/gateway/peers.go
+++ b/internal/gateway/peers.go
@@ -87,7 +87,7 @@
 // hear takes in a probe or the reply to one, and fetches what the peer has and
 // this VM has not, unless its region's watcher is about to tell it.
 func (g *Gateway) hear(from peer.Target, p *peerpb.Probe) {
-	g.members.Heard(peer.DecodeNews(p.GetNews()))
+	g.members.Heard(peer.DecodeMembers(p.GetNews()))
 	g.hearSignals(from.VM, p.GetSignals())
 	for _, kind := range g.replicatedKinds() {
 		at, known := g.replica.At(kind)
--- a/internal/loadgen/client.go
+++ b/internal/loadgen/client.go
@@ -86,7 +86,7 @@
 }
 
 type cachedLookup struct {
-	answer entry.Answer
+	answer entry.LookupResponse
 	until  time.Time
 }
 
@@ -121,7 +121,7 @@
 
 // Lookup returns the cached answer while it lasts, or asks. With fresh, it
 // always asks: a ticket is good for one request only.
-func (c *Client) Lookup(ctx context.Context, service string, fresh bool) (entry.Answer, error) {
+func (c *Client) Lookup(ctx context.Context, service string, fresh bool) (entry.LookupResponse, error) {
 	c.mu.Lock()
 	cached, ok := c.cached[service]
 	c.mu.Unlock()
@@ -140,11 +140,11 @@
 		c.mu.Unlock()
 		return answer, nil
 	}
-	return entry.Answer{}, errors.Wrap(last, "look up")
+	return entry.LookupResponse{}, errors.Wrap(last, "look up")
 }
 
 // askOrder begins with the VMs that were named last, since they are near.
-func (c *Client) askOrder(last entry.Answer) []string {
+func (c *Client) askOrder(last entry.LookupResponse) []string {
 	order := make([]string, 0, len(last.VMs)+len(c.cfg.VMs))
 	for _, vm := range last.VMs {
 		order = append(order, vm.Entry)
@@ -154,21 +154,21 @@
 	return append(order, c.cfg.VMs[:first]...)
 }
 
-func (c *Client) ask(ctx context.Context, vm, service string) (entry.Answer, error) {
+func (c *Client) ask(ctx context.Context, vm, service string) (entry.LookupResponse, error) {
 	const patience = 2 * time.Second
 	ctx, cancel := context.WithTimeout(ctx, patience)
 	defer cancel()
 	url := "http://" + vm + "/v1/lookup?service=" + service + "&client=" + c.cfg.Client.String()
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
 	if err != nil {
-		return entry.Answer{}, err
+		return entry.LookupResponse{}, err
 	}
 	res, err := c.cfg.HTTP.Do(req)
 	if err != nil {
-		return entry.Answer{}, err
+		return entry.LookupResponse{}, err
 	}
 	defer func() { _ = res.Body.Close() }()
-	var answer entry.Answer
+	var answer entry.LookupResponse
 	if res.StatusCode != http.StatusOK {
 		return answer, errors.Newf("status %d from %s", res.StatusCode, vm)
 	}
@@ -210,7 +210,7 @@
 // UploadTo sends an upload to one VM, without a look-up and without a retry.
 func (c *Client) UploadTo(ctx context.Context, vm, service string, size int, over time.Duration) Result {
 	started := time.Now()
-	result := c.try(ctx, entry.Named{Entry: vm}, service, "", c.uploadCall(size, over))
+	result := c.try(ctx, entry.LookupVM{Entry: vm}, service, "", c.uploadCall(size, over))
 	result.Took = time.Since(started)
 	return result
 }
@@ -263,7 +263,7 @@
 		before := result.Told
 		vm := found.VMs[i%len(found.VMs)]
 		if c.cfg.Pinned != "" {
-			vm = entry.Named{Entry: c.cfg.Pinned}
+			vm = entry.LookupVM{Entry: c.cfg.Pinned}
 		}
 		result = c.try(ctx, vm, service, found.Ticket, k)
 		result.Tries = i + 1
@@ -298,7 +298,7 @@
 	return r.Told == ToldUnknown && !k.repeat
 }
 
-func (c *Client) try(ctx context.Context, vm entry.Named, service, ticket string, k call) Result {
+func (c *Client) try(ctx context.Context, vm entry.LookupVM, service, ticket string, k call) Result {
 	if k.timeout > 0 {
 		var cancel context.CancelFunc
 		ctx, cancel = context.WithTimeout(ctx, k.timeout)
--- a/internal/program/operator.go
+++ b/internal/program/operator.go
@@ -233,7 +233,7 @@
 		Action: func(ctx context.Context, c *cli.Command) error {
 			query := url.Values{"service": {c.String("service")}, "client": {c.String("client")}}
 			api := apiClient{bases: []string{"http://" + c.String("entry")}}
-			var a entry.Answer
+			var a entry.LookupResponse
 			if err := api.call(ctx, http.MethodGet, "/v1/lookup?"+query.Encode(), nil, &a); err != nil {
 				return err
 			}
--- a/internal/program/print.go
+++ b/internal/program/print.go
@@ -143,7 +143,7 @@
 	return nil
 }
 
-func printLookup(w io.Writer, a *entry.Answer) error {
+func printLookup(w io.Writer, a *entry.LookupResponse) error {
 	printf(w, "client %s of %s: hall %s, good for %d ms, generation %d\n", a.Client, a.Service, a.Hall, a.TTLMillis, a.Generation)
 	for i, vm := range a.VMs {
 		printf(w, "%d  %s  %s  %s\n", i+1, vm.ID, vm.Hall, vm.Entry)
--- a/transport/entry/entry.go
+++ b/transport/entry/entry.go
@@ -249,9 +249,9 @@
 	return n, err
 }
 
-// Server returns an HTTP server for callers. It limits the size of headers and
+// NewServer returns an HTTP server for callers. It limits the size of headers and
 // the time to read them, but not the time of a body that makes progress.
-func Server(handler http.Handler) *http.Server {
+func NewServer(handler http.Handler) *http.Server {
 	const maxHeader = 32 << 10
 	return &http.Server{
 		Handler:           handler,
--- a/transport/entry/lookup.go
+++ b/transport/entry/lookup.go
@@ -26,20 +26,20 @@
 	ticketGrace = 2 * time.Minute
 )
 
-// Answer is the JSON response to a lookup.
-type Answer struct {
-	Service    string  `json:"service"`
-	Client     string  `json:"client"`
-	Hall       string  `json:"hall"`
-	VMs        []Named `json:"vms"`
-	TTLMillis  int64   `json:"ttl_ms"`
-	Generation uint64  `json:"generation"`
+// LookupResponse is the JSON response to a lookup.
+type LookupResponse struct {
+	Service    string     `json:"service"`
+	Client     string     `json:"client"`
+	Hall       string     `json:"hall"`
+	VMs        []LookupVM `json:"vms"`
+	TTLMillis  int64      `json:"ttl_ms"`
+	Generation uint64     `json:"generation"`
 	// Ticket is valid for one request that may run only once, at the first VM.
 	Ticket string `json:"ticket"`
 }
 
-// Named is one VM of a lookup response.
-type Named struct {
+// LookupVM is one VM of a lookup response.
+type LookupVM struct {
 	ID    string `json:"id"`
 	Hall  string `json:"hall"`
 	Entry string `json:"entry"`
@@ -64,28 +64,28 @@
 // Resolve returns the VMs for a client of a service: first those of its home
 // hall or, if that hall is drained, of the hall that took over the client, then
 // those of other halls as fallback.
-func (l *Lookup) Resolve(ctx context.Context, service string, client netip.Addr) (Answer, *outcome.Failure) {
+func (l *Lookup) Resolve(ctx context.Context, service string, client netip.Addr) (LookupResponse, *outcome.Failure) {
 	v := l.cfg.View()
 	if _, ok := v.Service(service); !ok {
-		return Answer{}, lookupFailure(outcome.CodeUnknownService, errors.Newf("service %q is unknown", service))
+		return LookupResponse{}, lookupFailure(outcome.CodeUnknownService, errors.Newf("service %q is unknown", service))
 	}
 	hall, ok := v.Home(client)
 	if !ok {
-		return Answer{}, lookupFailure(outcome.CodeNoBlock, errors.Newf("no block holds client %s", client))
+		return LookupResponse{}, lookupFailure(outcome.CodeNoBlock, errors.Newf("no block holds client %s", client))
 	}
 	hall = FollowDrains(v, service, hall, client)
 	members := l.selectMembers(v, service, hall, client)
 	if len(members) == 0 {
-		return Answer{}, lookupFailure(outcome.CodeNoVM, errors.New("no VM is known to be live")).WithRetryAfter(time.Second)
+		return LookupResponse{}, lookupFailure(outcome.CodeNoVM, errors.New("no VM is known to be live")).WithRetryAfter(time.Second)
 	}
 	ttl := v.Fleet().TTL()
 	ticket := l.issueTicket(ctx, members, ttl)
-	response := Answer{
+	response := LookupResponse{
 		Service: service, Client: client.String(), Hall: hall,
 		TTLMillis: ttl.Milliseconds(), Generation: v.Generation(), Ticket: ticket,
 	}
 	for _, m := range members {
-		response.VMs = append(response.VMs, Named{ID: m.ID, Hall: m.Hall, Entry: m.Entry})
+		response.VMs = append(response.VMs, LookupVM{ID: m.ID, Hall: m.Hall, Entry: m.Entry})
 	}
 	return response, nil
 }
--- a/transport/operator/gateway.go
+++ b/transport/operator/gateway.go
@@ -35,8 +35,8 @@
 	Traffic    func() *spec.Traffic
 	Quarantine QuarantineConfig
 	Rollouts   RolloutsConfig
-	// Find returns the decision for a request, by the request's id.
-	Find func(id string) (decision.Record, bool)
+	// FindDecision returns the decision for a request, by the request's id.
+	FindDecision func(id string) (decision.Record, bool)
 }
 
 // NewGateway returns the handler for operators of a gateway: metrics, health,
@@ -74,7 +74,7 @@
 		outcome.WriteJSON(w, http.StatusOK, Explanation{Move: m})
 		return
 	}
-	record, ok := cfg.Find(id)
+	record, ok := cfg.FindDecision(id)
 	if !ok {
 		writeFailure(w, outcome.CodeNotFound, "find decision", errors.Newf("VM %s holds no decision on request %q", cfg.Intents.VM, id))
 		return
--- a/transport/operator/intents.go
+++ b/transport/operator/intents.go
@@ -28,9 +28,9 @@
 	// View returns the view of the fleet and its services with the given
 	// traffic object.
 	View func(t *spec.Traffic) *view.View
-	// Changed is called with a traffic object that is known to be in force, so
+	// OnChange is called with a traffic object that is known to be in force, so
 	// that this VM applies it without waiting for a watch.
-	Changed func(w traffic.Result)
+	OnChange func(w traffic.Result)
 }
 
 // intents makes plans for intents and applies confirmed plans.
@@ -128,7 +128,7 @@
 	}
 	if err == nil {
 		i.cfg.Log.Info("operator: traffic changed", "id", id, "version", written.Version)
-		i.cfg.Changed(written)
+		i.cfg.OnChange(written)
 	}
 	outcome.WriteJSON(w, http.StatusOK, Accepted{ID: id, Version: written.Version})
 }
--- a/transport/operator/operator.go
+++ b/transport/operator/operator.go
@@ -57,10 +57,10 @@
 	Intents   IntentsConfig
 	// Ready returns nil if the daemon can serve callers.
 	Ready func() error
-	// Find fetches a decision from another VM.
-	Find func(ctx context.Context, vm, id string) (decision.Record, error)
-	// Own returns the load summary of this VM.
-	Own func() load.VMStatus
+	// FindDecision fetches a decision from another VM.
+	FindDecision func(ctx context.Context, vm, id string) (decision.Record, error)
+	// OwnStatus returns the load summary of this VM.
+	OwnStatus func() load.VMStatus
 }
 
 type api struct {
--- a/transport/operator/status.go
+++ b/transport/operator/status.go
@@ -80,8 +80,8 @@
 	State string `json:"state"`
 }
 
-// Member returns the MemberStatus of a member.
-func Member(m membership.Member) MemberStatus {
+// NewMemberStatus returns the MemberStatus of a member.
+func NewMemberStatus(m membership.Member) MemberStatus {
 	return MemberStatus{VM: m.ID, Hall: m.Hall, State: m.State.String()}
 }
 
@@ -89,13 +89,13 @@
 	v := a.cfg.View()
 	self := a.cfg.Members.Self()
 	s := Status{
-		VM: a.cfg.VM, Hall: self.Hall, Generation: v.Generation(), Platform: "up", Own: a.cfg.Own(),
-		Members: []MemberStatus{Member(self)},
+		VM: a.cfg.VM, Hall: self.Hall, Generation: v.Generation(), Platform: "up", Own: a.cfg.OwnStatus(),
+		Members: []MemberStatus{NewMemberStatus(self)},
 		Halls:   []load.HallStatus{},
 		Moves:   v.Traffic().Moves, Caps: v.Traffic().Caps, Leaving: v.Traffic().Leaving,
 	}
 	for _, m := range a.cfg.Members.All() {
-		s.Members = append(s.Members, Member(m))
+		s.Members = append(s.Members, NewMemberStatus(m))
 	}
 	ctx, cancel := context.WithTimeout(r.Context(), platformStatusTimeout)
 	defer cancel()
@@ -137,7 +137,7 @@
 		outcome.WriteJSON(w, http.StatusOK, Explanation{Decision: &record})
 		return
 	}
-	record, err := a.cfg.Find(r.Context(), vm, id)
+	record, err := a.cfg.FindDecision(r.Context(), vm, id)
 	if err != nil {
 		outcome.Write(w, outcome.New(outcome.CodeNotFound, outcome.NotRun, "ask VM", vm, err))
 		return
--- a/transport/peer/member.go
+++ b/transport/peer/member.go
@@ -37,8 +37,8 @@
 	}, nil
 }
 
-// DecodeNews decodes the member messages of a peer and skips malformed ones.
-func DecodeNews(messages []*peerpb.Member) []membership.Member {
+// DecodeMembers decodes the member messages of a peer and skips malformed ones.
+func DecodeMembers(messages []*peerpb.Member) []membership.Member {
 	members := make([]membership.Member, 0, len(messages))
 	for _, m := range messages {
 		if member, err := DecodeMember(m); err == nil {
--- a/transport/peer/member_test.go
+++ b/transport/peer/member_test.go
@@ -36,7 +36,7 @@
 			if _, err := peer.DecodeMember(message); !errors.Is(err, peer.ErrMalformedMember) {
 				t.Errorf("error %v, want ErrMalformedMember", err)
 			}
-			if decoded := peer.DecodeNews([]*peerpb.Member{message, peer.EncodeMember(m)}); len(decoded) != 1 {
+			if decoded := peer.DecodeMembers([]*peerpb.Member{message, peer.EncodeMember(m)}); len(decoded) != 1 {
 				t.Errorf("%d of 2 members decoded, want 1", len(decoded))
 			}
 		})
--- a/transport/relay/engine.go
+++ b/transport/relay/engine.go
@@ -98,9 +98,9 @@
 // InFlight returns the number of requests of callers in flight.
 func (e *Engine) InFlight() int { return int(e.inFlight.Load()) }
 
-// StopNew makes the engine refuse every new request as not run. Requests in
+// RefuseNew makes the engine refuse every new request as not run. Requests in
 // flight continue.
-func (e *Engine) StopNew() { e.stopping.Store(true) }
+func (e *Engine) RefuseNew() { e.stopping.Store(true) }
 
 // NextID returns a new decision id. It contains the VM's id, so that any VM can
 // find the one that holds the record.
--- a/transport/relay/neighbors.go
+++ b/transport/relay/neighbors.go
@@ -44,8 +44,8 @@
 	return &n.shards[xxhash.Sum64String(service)%neighborShards]
 }
 
-// Told stores a VM's report of its free slots for a service.
-func (n *Neighbors) Told(vm, service string, free int, now time.Time) {
+// Update stores a VM's report of its free slots for a service.
+func (n *Neighbors) Update(vm, service string, free int, now time.Time) {
 	s := n.shard(service)
 	s.mu.Lock()
 	defer s.mu.Unlock()
