--- a/coordination/controller/controller.go
+++ b/coordination/controller/controller.go
@@ -1,26 +1,28 @@
 // Copyright 2026 The ryehill Authors
 // SPDX-License-Identifier: Apache-2.0
 
-// Package controller steps confirmed moves towards their goals.
+// Package controller advances confirmed moves towards their goals.
 //
-// Any VM may be the controller; the one that holds the lease acts. The lease
-// only keeps two from doing the same work: what makes a step safe is that it is
-// a conditional update of the version of the traffic object that it was decided
-// from. A controller that lost its lease, or was frozen and woke, finds another
-// version and changes nothing.
+// Any VM may be the controller; the holder of the lease acts. The lease only avoids
+// duplicate work. Safety comes from the conditional update: a step is written only
+// if the traffic object still has the version that the step was computed from, so a
+// controller that lost its lease or was frozen changes nothing.
 //
-// Next is pure: it takes the traffic object, the statuses of the halls and the
-// time, and returns what to write. Its rules, in order, for each move:
+// Next is a pure function of the traffic object, the hall statuses and the time.
+// For each move it applies these rules in order:
 //
-//   - a status of the source or a target older than intent.FreshStatus pauses;
-//   - a target with less than half the headroom free goes back one step;
-//   - a target below the headroom, or with requests waiting or refused, pauses;
-//   - the last change must be in force at every VM of the source hall, and the
-//     step interval must have passed, else nothing is done;
-//   - at the goal the move is done;
-//   - else the share grows by at most Step, and by at most what fills half of
-//     the target's free slots beyond its headroom, since cold caches make each
-//     request hold its slot for longer than predicted.
+//   - a status of the source or a target older than intent.MaxStatusAge pauses the
+//     move;
+//   - a target without usable slots or with less than half the headroom free takes
+//     the share back by one step;
+//   - a target below the headroom, or with requests waiting or refused, pauses the
+//     move;
+//   - until the last change is in force at every VM of the source hall and the step
+//     interval has passed, nothing changes;
+//   - at the goal or the cap the move is done;
+//   - otherwise the share grows by at most Step, and by at most what fills half of
+//     the target's free slots beyond its headroom, since requests hold their slots
+//     longer than predicted while caches are cold.
 //
 // # Usage
 //
@@ -40,7 +42,7 @@
 	"github.com/ryehill/ryehill/state/spec"
 )
 
-// Facts are what a step rests on.
+// Facts are the inputs of a step.
 type Facts struct {
 	Fleet   *spec.Fleet
 	Traffic spec.Traffic
@@ -50,7 +52,7 @@
 	Now     time.Time
 }
 
-// Rule names what decided about a move.
+// Rule identifies the rule that changed a move.
 type Rule string
 
 // Rules of the controller.
@@ -63,18 +65,19 @@
 	RuleFinish   Rule = "finish"
 )
 
-// Action is one change of one move.
+// Action describes a change of a move.
 type Action struct {
 	Move   string
 	Rule   Rule
 	Reason string
 }
 
-// refusedPerSecond is the rate of refusals at a target that pauses a move.
-const refusedPerSecond = 0.5
+// maxRefusalRate is the rate of refused requests per second at a target above which
+// a move pauses.
+const maxRefusalRate = 0.5
 
-// Next returns the traffic object with every change that is due, and what they
-// are. Without any, the traffic object is returned as it was.
+// Next returns the traffic object with all due changes and a list of them. If there
+// are none, it returns the traffic object unchanged.
 func Next(f Facts) (spec.Traffic, []Action) {
 	next := f.Traffic
 	next.Moves = append([]spec.Move(nil), f.Traffic.Moves...)
@@ -84,7 +87,7 @@
 		if m.Ended() {
 			continue
 		}
-		if a, changed := f.step(m); changed {
+		if a, changed := f.stepMove(m); changed {
 			actions = append(actions, a)
 		}
 	}
@@ -94,13 +97,13 @@
 	return next, actions
 }
 
-func (f *Facts) step(m *spec.Move) (Action, bool) {
+func (f *Facts) stepMove(m *spec.Move) (Action, bool) {
 	source, ok := f.Halls[m.From]
 	if !ok || source.Age(f.Now) > intent.FreshStatus {
 		return f.pause(m, RuleStale, fmt.Sprintf("hall %s has sent no status within %s", m.From, intent.FreshStatus), nil)
 	}
 	inputs := []decision.Input{statusInput(source, m.Service, f.Now)}
-	room := math.MaxFloat64
+	growthLimit := math.MaxFloat64
 	for _, t := range m.Targets {
 		target, ok := f.Halls[t.Hall]
 		if !ok || target.Age(f.Now) > intent.FreshStatus {
@@ -108,27 +111,28 @@
 		}
 		inputs = append(inputs, statusInput(target, m.Service, f.Now))
 		s := target.Services[m.Service]
-		if a, held, changed := f.hold(m, t.Hall, s, inputs); held {
+		if a, blocked, changed := f.checkTarget(m, t.Hall, s, inputs); blocked {
 			return a, changed
 		}
-		room = math.Min(room, f.shareFor(m, t, s, source.Services[m.Service]))
+		growthLimit = math.Min(growthLimit, f.maxGrowth(m, t, s, source.Services[m.Service]))
 	}
-	if !f.settled(m, source) {
+	if !f.changeTookEffect(m, source) {
 		return Action{}, false
 	}
-	return f.grow(m, room, inputs)
+	return f.grow(m, growthLimit, inputs)
 }
 
-// hold pauses a move or takes a step back if a target is short of room.
-func (f *Facts) hold(m *spec.Move, hall string, s load.ServiceStatus, inputs []decision.Input) (a Action, held, changed bool) {
+// checkTarget pauses a move or takes a step back if a target lacks capacity. It
+// returns blocked if the move must not grow.
+func (f *Facts) checkTarget(m *spec.Move, hall string, s load.ServiceStatus, inputs []decision.Input) (a Action, blocked, changed bool) {
 	free := float64(s.Usable - s.InUse)
-	least := float64(s.Usable) * fraction(f.Fleet.Headroom())
+	headroom := float64(s.Usable) * fraction(f.Fleet.Headroom())
 	switch {
-	case free < least/2 && m.Share > 0 || s.Usable == 0:
-		a, changed = f.back(m, fmt.Sprintf("hall %s has %.0f of %d usable slots free, less than half the headroom of %.1f", hall, free, s.Usable, least), inputs)
-	case free < least:
-		a, changed = f.pause(m, RuleHeadroom, fmt.Sprintf("hall %s has %.0f of %d usable slots free, less than the headroom of %.1f", hall, free, s.Usable, least), inputs)
-	case s.Waiting > 0 || s.Refused > refusedPerSecond:
+	case free < headroom/2 && m.Share > 0 || s.Usable == 0:
+		a, changed = f.stepBack(m, fmt.Sprintf("hall %s has %.0f of %d usable slots free, less than half the headroom of %.1f", hall, free, s.Usable, headroom), inputs)
+	case free < headroom:
+		a, changed = f.pause(m, RuleHeadroom, fmt.Sprintf("hall %s has %.0f of %d usable slots free, less than the headroom of %.1f", hall, free, s.Usable, headroom), inputs)
+	case s.Waiting > 0 || s.Refused > maxRefusalRate:
 		a, changed = f.pause(m, RuleWaiting, fmt.Sprintf("hall %s has %d requests waiting and refuses %.1f a second", hall, s.Waiting, s.Refused), inputs)
 	default:
 		return Action{}, false, false
@@ -136,39 +140,40 @@
 	return a, true, changed
 }
 
-// settled reports whether the last change has had its effect: it is in force at
-// every VM of the source hall, and callers' cached look-ups have lapsed.
-func (f *Facts) settled(m *spec.Move, source load.HallStatus) bool {
+// changeTookEffect reports whether the last change is in force at every VM of the
+// source hall and, unless the move is only confirmed, the cached lookups of callers
+// have expired.
+func (f *Facts) changeTookEffect(m *spec.Move, source load.HallStatus) bool {
 	if source.Generation < f.Version || source.Missing > 0 {
 		return false
 	}
 	return m.State == spec.MoveConfirmed || f.Now.Sub(time.UnixMilli(m.Changed)) >= f.Fleet.Interval()
 }
 
-// shareFor returns how much the share may grow so that it fills half of a
-// target's free slots beyond its headroom.
-func (f *Facts) shareFor(m *spec.Move, t spec.Target, target, source load.ServiceStatus) float64 {
+// maxGrowth returns how much the share may grow, as a fraction of all requests, to
+// fill half of a target's free slots beyond its headroom.
+func (f *Facts) maxGrowth(m *spec.Move, t spec.Target, target, source load.ServiceStatus) float64 {
 	total := uint32(0)
 	for _, other := range m.Targets {
 		total += other.Weight
 	}
-	perShare := source.Busy * float64(t.Weight) / float64(max(total, 1))
-	if perShare < 0.01 {
+	busyPerShare := source.Busy * float64(t.Weight) / float64(max(total, 1))
+	if busyPerShare < 0.01 {
 		return math.MaxFloat64
 	}
-	least := float64(target.Usable) * fraction(f.Fleet.Headroom())
-	spare := float64(target.Usable) - math.Max(target.Busy, float64(target.InUse)) - least
-	return math.Max(0, spare/2) / perShare
+	headroom := float64(target.Usable) * fraction(f.Fleet.Headroom())
+	spareSlots := float64(target.Usable) - math.Max(target.Busy, float64(target.InUse)) - headroom
+	return math.Max(0, spareSlots/2) / busyPerShare
 }
 
-func (f *Facts) grow(m *spec.Move, room float64, inputs []decision.Input) (Action, bool) {
+func (f *Facts) grow(m *spec.Move, growthLimit float64, inputs []decision.Input) (Action, bool) {
 	goal := min(m.Goal, m.Cap)
 	if m.Share >= goal {
 		return f.advance(m, intent.EventFinish, RuleFinish, fmt.Sprintf("the share has reached its goal of %s", goal), inputs)
 	}
 	grown := min(m.Share+m.Step, goal)
-	if room < 1 {
-		grown = min(grown, m.Share+share.PPM(room*float64(share.Whole)))
+	if growthLimit < 1 {
+		grown = min(grown, m.Share+share.PPM(growthLimit*float64(share.Whole)))
 	}
 	if grown <= m.Share {
 		return f.pause(m, RuleHeadroom, "a target has no slot to spare beyond its headroom", inputs)
@@ -178,8 +183,8 @@
 	return f.advance(m, intent.EventStep, RuleStep, reason, inputs)
 }
 
-func (f *Facts) back(m *spec.Move, reason string, inputs []decision.Input) (Action, bool) {
-	if !f.sinceChange(m) {
+func (f *Facts) stepBack(m *spec.Move, reason string, inputs []decision.Input) (Action, bool) {
+	if !f.intervalElapsed(m) {
 		return Action{}, false
 	}
 	if m.Share == 0 {
@@ -189,9 +194,9 @@
 	return f.advance(m, intent.EventStep, RuleBack, reason, inputs)
 }
 
-// sinceChange reports whether a step back may follow the last change: the
-// former one must have had the time to show.
-func (f *Facts) sinceChange(m *spec.Move) bool {
+// intervalElapsed reports whether enough time has passed since the last change for
+// its effect to show, so that a step back may follow.
+func (f *Facts) intervalElapsed(m *spec.Move) bool {
 	return f.Now.Sub(time.UnixMilli(m.Changed)) >= f.Fleet.Interval()
 }
 
--- a/coordination/controller/controller_test.go
+++ b/coordination/controller/controller_test.go
@@ -43,12 +43,12 @@
 		share  share.PPM
 		state  spec.MoveState
 	}{
-		"steps":                  {target: idle, rule: controller.RuleStep, share: 150_000, state: spec.MoveMoving},
-		"short of headroom":      {target: load.ServiceStatus{Usable: 20, InUse: 19}, rule: controller.RuleHeadroom, share: 100_000, state: spec.MovePaused},
-		"full":                   {target: load.ServiceStatus{Usable: 20, InUse: 20}, rule: controller.RuleBack, share: 50_000, state: spec.MoveMoving},
-		"half its workers died":  {target: load.ServiceStatus{Usable: 5, InUse: 9}, rule: controller.RuleBack, share: 50_000, state: spec.MoveMoving},
-		"requests wait":          {target: load.ServiceStatus{Usable: 20, Waiting: 1}, rule: controller.RuleWaiting, share: 100_000, state: spec.MovePaused},
-		"little room: less step": {target: load.ServiceStatus{Usable: 20, Busy: 17.5}, rule: controller.RuleStep, share: 125_000, state: spec.MoveMoving},
+		"steps":                {target: idle, rule: controller.RuleStep, share: 150_000, state: spec.MoveMoving},
+		"short of headroom":    {target: load.ServiceStatus{Usable: 20, InUse: 19}, rule: controller.RuleHeadroom, share: 100_000, state: spec.MovePaused},
+		"full":                 {target: load.ServiceStatus{Usable: 20, InUse: 20}, rule: controller.RuleBack, share: 50_000, state: spec.MoveMoving},
+		"below half its slots": {target: load.ServiceStatus{Usable: 5, InUse: 9}, rule: controller.RuleBack, share: 50_000, state: spec.MoveMoving},
+		"requests wait":        {target: load.ServiceStatus{Usable: 20, Waiting: 1}, rule: controller.RuleWaiting, share: 100_000, state: spec.MovePaused},
+		"limited spare slots":  {target: load.ServiceStatus{Usable: 20, Busy: 17.5}, rule: controller.RuleStep, share: 125_000, state: spec.MoveMoving},
 		"stale source": {target: idle, rule: controller.RuleStale, share: 100_000, state: spec.MovePaused, change: func(f *controller.Facts) {
 			h := f.Halls["a"]
 			h.At -= 16_000
@@ -57,14 +57,14 @@
 		"target has no status": {target: idle, rule: controller.RuleStale, share: 100_000, state: spec.MovePaused, change: func(f *controller.Facts) {
 			delete(f.Halls, "b")
 		}},
-		"not in force everywhere": {target: idle, share: 100_000, state: spec.MoveMoving, change: func(f *controller.Facts) { f.Version = 10 }},
-		"too early": {target: idle, share: 100_000, state: spec.MoveMoving, change: func(f *controller.Facts) {
+		"not in force at all VMs": {target: idle, share: 100_000, state: spec.MoveMoving, change: func(f *controller.Facts) { f.Version = 10 }},
+		"interval not elapsed": {target: idle, share: 100_000, state: spec.MoveMoving, change: func(f *controller.Facts) {
 			f.Traffic.Moves[0].Changed = now.UnixMilli()
 		}},
-		"at the cap it is done": {target: idle, rule: controller.RuleFinish, share: 400_000, state: spec.MoveDone, change: func(f *controller.Facts) {
+		"at the cap": {target: idle, rule: controller.RuleFinish, share: 400_000, state: spec.MoveDone, change: func(f *controller.Facts) {
 			f.Traffic.Moves[0].Share = 40 * share.Percent
 		}},
-		"stopped stays stopped": {target: idle, share: 100_000, state: spec.MoveStopped, change: func(f *controller.Facts) {
+		"stopped": {target: idle, share: 100_000, state: spec.MoveStopped, change: func(f *controller.Facts) {
 			f.Traffic.Moves[0].State = spec.MoveStopped
 		}},
 	}
@@ -87,8 +87,8 @@
 	}
 }
 
-// Whatever the halls say, a share never passes its cap or goal, never grows by
-// more than a step, and changes only with a reason.
+// A share must stay within its cap, goal and step size, and change only with a
+// reason.
 func TestSharesStayWithinBounds(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		f := facts(load.ServiceStatus{})
@@ -116,18 +116,18 @@
 	})
 }
 
-func TestLeaseLapsesByTheObserversClock(t *testing.T) {
+func TestLeaseExpiresByObserverClock(t *testing.T) {
 	var o controller.Observer
 	held := controller.Lease{Holder: "a1", Start: 1, Renewal: 4}
 	at := now
 	if o.Lapsed(held, at) || o.Lapsed(held, at.Add(controller.LeaseTerm-1)) {
-		t.Fatal("lapsed within its term")
+		t.Fatal("expired before the lease duration")
 	}
 	held.Renewal++
 	if o.Lapsed(held, at.Add(controller.LeaseTerm)) {
-		t.Fatal("lapsed right after a renewal")
+		t.Fatal("expired right after a renewal")
 	}
 	if !o.Lapsed(held, at.Add(2*controller.LeaseTerm)) {
-		t.Fatal("did not lapse")
+		t.Fatal("did not expire")
 	}
 }
--- a/coordination/controller/lease.go
+++ b/coordination/controller/lease.go
@@ -5,40 +5,40 @@
 
 import "time"
 
-// Times of the lease.
+// Lease timing and the number of candidates.
 const (
-	// LeaseTerm is how long a lease lasts after its last renewal.
+	// LeaseTerm is how long a lease is valid after its last renewal.
 	LeaseTerm = 9 * time.Second
-	// LeaseRenew is how often the holder renews.
+	// LeaseRenew is the interval at which the holder renews.
 	LeaseRenew = LeaseTerm / 3
-	// Candidates is how many VMs of the fleet ask for the lease, so that the
-	// calls to the platform do not grow with the fleet.
+	// Candidates is how many VMs of the fleet compete for the lease, so that the
+	// number of platform calls does not grow with the fleet.
 	Candidates = 3
 )
 
-// Lease is the object that names the controller.
+// Lease is the stored object that names the current controller.
 type Lease struct {
 	Holder string `json:"holder"`
 	Start  uint64 `json:"start"`
-	// Renewal numbers the renewals, so that a watcher without a common clock
-	// can tell that the holder is alive.
+	// Renewal counts the renewals, so that observers without a synchronized clock
+	// can detect that the holder is alive.
 	Renewal uint64 `json:"renewal"`
 }
 
-// Observer judges, by its own clock alone, whether a lease has lapsed: it must
-// have seen the same renewal for a whole term. It is not safe for concurrent use.
+// Observer detects an expired lease by its local clock alone: the renewal must be
+// unchanged for a whole lease duration. It is not safe for concurrent use.
 type Observer struct {
-	seen  Lease
-	since time.Time
+	lastLease Lease
+	firstSeen time.Time
 }
 
-// Lapsed takes in the lease as read at a time and reports whether its holder
-// has not renewed for a whole term.
+// Lapsed records the lease as read at a time and reports whether it has no holder
+// or its holder has not renewed for a whole lease duration.
 func (o *Observer) Lapsed(l Lease, now time.Time) bool {
-	if l != o.seen || o.since.IsZero() {
-		o.seen = l
-		o.since = now
+	if l != o.lastLease || o.firstSeen.IsZero() {
+		o.lastLease = l
+		o.firstSeen = now
 		return l.Holder == ""
 	}
-	return l.Holder == "" || now.Sub(o.since) >= LeaseTerm
+	return l.Holder == "" || now.Sub(o.firstSeen) >= LeaseTerm
 }
--- a/coordination/intent/apply.go
+++ b/coordination/intent/apply.go
@@ -12,17 +12,16 @@
 	"github.com/ryehill/ryehill/state/spec"
 )
 
-// keepEnded is how long ended moves stay in the traffic object, so that they
-// can be asked about.
-const keepEnded = 24 * time.Hour
+// endedRetention is how long ended moves stay in the traffic object for queries.
+const endedRetention = 24 * time.Hour
 
-// ErrPlanAgain reports a plan that was made from another edit of the traffic
-// object than the one in force: another operator was faster.
+// ErrPlanAgain reports a plan made from an earlier edit of the traffic object than
+// the current one: another operator's change came first.
 var ErrPlanAgain = errors.New("intent: traffic has changed since the plan was made; plan again")
 
-// Apply returns the traffic object with a confirmed plan in it. It returns
-// ErrPlanAgain if the plan was made from another edit of the object, and a
-// *Refusal if the object would hold too much.
+// Apply returns the traffic object with the changes of a confirmed plan. It returns
+// ErrStalePlan if the plan was made from another edit of the object, and a *Refusal
+// if the result would exceed the limits on moves or caps.
 func Apply(p Plan, t spec.Traffic, now time.Time) (spec.Traffic, error) {
 	if p.Edit != t.Edit {
 		return t, errors.Wrapf(ErrPlanAgain, "plan is for edit %d, in force is %d", p.Edit, t.Edit)
@@ -30,7 +29,7 @@
 	next := clone(t)
 	next.Edit++
 	next.Moves = slices.DeleteFunc(next.Moves, func(m spec.Move) bool {
-		return m.Ended() && m.Share == 0 && now.Sub(time.UnixMilli(m.Changed)) > keepEnded
+		return m.Ended() && m.Share == 0 && now.Sub(time.UnixMilli(m.Changed)) > endedRetention
 	})
 	for _, m := range p.Changes {
 		m.Note("confirmed by an operator", now)
@@ -51,9 +50,9 @@
 	return next, nil
 }
 
-// Stop returns the traffic object without the effects of an intent: its moves
-// are stopped at a share of nothing, its cap or drained upstream is removed.
-// It returns ErrIntent if nothing in force has this id.
+// Stop returns the traffic object without the effects of an intent: its moves are
+// stopped with a share of zero, and its cap or drained worker is removed. It
+// returns ErrInvalidIntent if nothing in force has this id.
 func Stop(t spec.Traffic, id string, now time.Time) (spec.Traffic, error) {
 	next := clone(t)
 	next.Edit++
--- a/coordination/intent/intent.go
+++ b/coordination/intent/intent.go
@@ -1,19 +1,19 @@
 // Copyright 2026 The ryehill Authors
 // SPDX-License-Identifier: Apache-2.0
 
-// Package intent turns what an operator wants into a plan, and a confirmed plan
-// into changes of the traffic object.
+// Package intent turns an operator's intent into a plan, and a confirmed plan into
+// changes of the traffic object.
 //
-// An Intent is one of Shift, DrainHall, DrainUpstream and Cap. Make answers it
-// with a Plan: what would move where in which steps, the load predicted for each
-// hall and link, the headroom left, the time it takes, and what would pause or
-// stop it. Making a plan changes nothing. A plan that cannot be carried is an
-// error of type *Refusal with the numbers. Apply carries out a confirmed plan on
-// the traffic object of the version that the plan was made from.
+// An Intent is one of Shift, DrainHall, DrainUpstream and Cap. MakePlan returns a
+// Plan with the moves and their steps, the predicted load of each hall and link,
+// the remaining headroom, the duration, and the conditions that would pause or stop
+// it. Making a plan changes nothing. A plan that exceeds the capacity is rejected
+// with a *Refusal that holds the numbers. Apply adds a confirmed plan to the
+// traffic object if that still has the edit that the plan was made from.
 //
 // # Usage
 //
-//	plan, err := intent.Make(intent.Shift{Service: "lookup", From: "a", To: "b", ...}, facts)
+//	plan, err := intent.MakePlan(intent.Shift{Service: "lookup", From: "a", To: "b", ...}, facts)
 //	traffic, err = intent.Apply(plan, traffic, now)
 package intent
 
@@ -26,10 +26,11 @@
 	"github.com/ryehill/ryehill/state/spec"
 )
 
-// ErrIntent reports an intent that cannot be read or names unknown things.
-var ErrIntent = errors.New("intent: bad intent")
+// ErrIntent reports an intent that cannot be decoded or refers to something that
+// does not exist.
+var ErrIntent = errors.New("intent: invalid intent")
 
-// Intent is what an operator wants: Shift, DrainHall, DrainUpstream or Cap.
+// Intent is an operator's request: Shift, DrainHall, DrainUpstream or Cap.
 type Intent interface{ kind() string }
 
 // Shift moves a share of a service's requests from one hall to another.
@@ -38,25 +39,26 @@
 	From    string    `json:"from"`
 	To      string    `json:"to"`
 	Share   share.PPM `json:"share"`
-	// Cap is never passed, whatever the share. Default: the share.
+	// Cap bounds the share in force. Default: Share.
 	Cap *share.PPM `json:"cap,omitempty"`
-	// Step is the most that one step adds. Default 5%.
+	// Step is the largest increase in one step. Default 5%.
 	Step share.PPM `json:"step,omitempty"`
 }
 
-// DrainHall moves everything out of a hall, to halls with room.
+// DrainHall moves all requests out of a hall, to halls with spare slots.
 type DrainHall struct {
 	Hall string `json:"hall"`
-	// Step is the most that one step adds. Default 20%.
+	// Step is the largest increase in one step. Default 20%.
 	Step share.PPM `json:"step,omitempty"`
 }
 
-// DrainUpstream gives a worker no new work until the drain is stopped.
+// DrainUpstream withholds new requests from a worker until the drain is stopped.
 type DrainUpstream struct {
 	Upstream string `json:"upstream"`
 }
 
-// Cap limits all moves together that it covers, those under way included.
+// Cap limits the combined share of the moves that it covers, including moves in
+// progress.
 type Cap struct {
 	Service string    `json:"service,omitempty"`
 	From    string    `json:"from,omitempty"`
@@ -79,7 +81,7 @@
 	Intent Intent
 }
 
-type envelope struct {
+type rawEnvelope struct {
 	Kind string          `json:"kind"`
 	Spec json.RawMessage `json:"spec"`
 }
@@ -90,30 +92,30 @@
 	if err != nil {
 		return nil, errors.Wrap(err, "intent: encode")
 	}
-	return json.Marshal(envelope{Kind: e.Intent.kind(), Spec: raw})
+	return json.Marshal(rawEnvelope{Kind: e.Intent.kind(), Spec: raw})
 }
 
-// UnmarshalJSON implements json.Unmarshaler. It returns ErrIntent for unknown
-// kinds and fields.
+// UnmarshalJSON implements json.Unmarshaler. It returns ErrInvalidIntent for
+// unknown kinds and fields.
 func (e *Envelope) UnmarshalJSON(body []byte) error {
-	var raw envelope
+	var raw rawEnvelope
 	if err := decodeStrict(body, &raw); err != nil {
 		return err
 	}
 	switch raw.Kind {
 	case Shift{}.kind():
-		return decodeInto[Shift](raw.Spec, e)
+		return decodeSpec[Shift](raw.Spec, e)
 	case DrainHall{}.kind():
-		return decodeInto[DrainHall](raw.Spec, e)
+		return decodeSpec[DrainHall](raw.Spec, e)
 	case DrainUpstream{}.kind():
-		return decodeInto[DrainUpstream](raw.Spec, e)
+		return decodeSpec[DrainUpstream](raw.Spec, e)
 	case Cap{}.kind():
-		return decodeInto[Cap](raw.Spec, e)
+		return decodeSpec[Cap](raw.Spec, e)
 	}
 	return errors.Wrapf(ErrIntent, "kind %q: allowed are shift, drain-hall, drain-upstream and cap", raw.Kind)
 }
 
-func decodeInto[T Intent](raw json.RawMessage, e *Envelope) error {
+func decodeSpec[T Intent](raw json.RawMessage, e *Envelope) error {
 	var v T
 	if err := decodeStrict(raw, &v); err != nil {
 		return err
@@ -122,7 +124,7 @@
 	return nil
 }
 
-// Find returns the move of an id in a traffic object, or nil.
+// Find returns the move with an id in a traffic object, or nil.
 func Find(t *spec.Traffic, moveID string) *spec.Move {
 	for i := range t.Moves {
 		if t.Moves[i].ID == moveID {
--- a/coordination/intent/intent_test.go
+++ b/coordination/intent/intent_test.go
@@ -20,7 +20,7 @@
 
 var now = time.Unix(1_800_000_000, 0)
 
-// facts is a fleet of two halls: a with 20 slots and 16 busy, b with 20 and 10.
+// facts describes two halls: a with 20 slots and 16 busy, b with 20 and 10.
 func facts() intent.Facts {
 	v, err := view.Compile(1, []spec.Object{
 		spec.Encode(spec.Key{Kind: spec.KindFleet, Name: spec.MainName}, &spec.Fleet{
@@ -96,7 +96,7 @@
 	}
 }
 
-func TestPlanIsVoidAfterAnotherEdit(t *testing.T) {
+func TestPlanIsRejectedAfterAnotherEdit(t *testing.T) {
 	plan, err := intent.Make(intent.Cap{Limit: 10 * share.Percent}, facts())
 	if err != nil {
 		t.Fatal(err)
@@ -110,7 +110,7 @@
 	}
 }
 
-func TestIntentsComeBackFromJSON(t *testing.T) {
+func TestIntentsRoundTripJSON(t *testing.T) {
 	limit := 5 * share.Percent
 	for _, in := range []intent.Intent{
 		intent.Shift{Service: "s", From: "a", To: "b", Share: share.Percent, Cap: &limit},
@@ -124,13 +124,13 @@
 		}
 		var e intent.Envelope
 		if err := json.Unmarshal(raw, &e); err != nil || fmt.Sprintf("%T", e.Intent) != fmt.Sprintf("%T", in) {
-			t.Fatalf("%s became %T, %v", raw, e.Intent, err)
+			t.Fatalf("%s decoded to %T, %v", raw, e.Intent, err)
 		}
 	}
 	var e intent.Envelope
 	for _, bad := range []string{`{"kind":"jump","spec":{}}`, `{"kind":"cap","spec":{"colour":1}}`, `{}`, `[]`} {
 		if err := json.Unmarshal([]byte(bad), &e); err == nil {
-			t.Errorf("%s was taken", bad)
+			t.Errorf("%s was accepted", bad)
 		}
 	}
 }
--- a/coordination/intent/lifecycle.go
+++ b/coordination/intent/lifecycle.go
@@ -13,23 +13,22 @@
 	"github.com/ryehill/ryehill/state/spec"
 )
 
-// Event moves a move along its life cycle.
+// Event triggers a transition in the life cycle of a move.
 type Event string
 
 // Events of a move.
 const (
-	// EventStep takes a step, forward or back.
+	// EventStep changes the share by one step in either direction.
 	EventStep Event = "step"
-	// EventPause holds the share where it is.
+	// EventPause keeps the share at its current value.
 	EventPause Event = "pause"
 	// EventFinish ends a move that has reached its goal.
 	EventFinish Event = "finish"
-	// EventStop ends a move by an operator's word.
+	// EventStop ends a move at an operator's request.
 	EventStop Event = "stop"
 )
 
-// transitions is the life cycle of a move. A plan that is refused or never
-// confirmed does not get this far.
+// transitions defines the life cycle of a confirmed move.
 var transitions = fsm.Events{
 	{
 		Name: string(EventStep),
@@ -59,8 +58,9 @@
 // ErrTransition reports an event that a move's state does not allow.
 var ErrTransition = errors.New("intent: event not allowed in this state")
 
-// Advance moves a move along its life cycle and notes why.
-// It returns ErrTransition, and changes nothing, if its state forbids the event.
+// Advance applies an event to a move and records the reason. It returns
+// ErrTransition, and leaves the move unchanged, if its state does not allow the
+// event.
 func Advance(m *spec.Move, e Event, reason string, now time.Time) error {
 	machine := fsm.NewFSM(string(m.State), transitions, nil)
 	err := machine.Event(context.Background(), string(e))
--- a/coordination/intent/plan.go
+++ b/coordination/intent/plan.go
@@ -16,15 +16,16 @@
 	"github.com/ryehill/ryehill/state/view"
 )
 
-// FreshStatus is the oldest hall status that a plan or a step may rest on.
+// FreshStatus is the maximum age of a hall status that a plan or a step may use.
 const FreshStatus = 15 * time.Second
 
-// linkCeiling is the part of a link's limit that a plan may fill.
-const linkCeiling = 90 * share.Percent
+// maxLinkUse is the fraction of a link's limit that a plan may use.
+const maxLinkUse = 90 * share.Percent
 
-// Facts are what a plan rests on.
+// Facts are the inputs of a plan.
 type Facts struct {
-	// ID is the id that the plan and its moves get.
+	// ID becomes the id of the plan and its intent; the ids of its moves begin with
+	// it.
 	ID string
 	// View holds the traffic object that the plan is made from.
 	View  *view.View
@@ -32,37 +33,39 @@
 	Now   time.Time
 }
 
-// Plan says what an intent would do. It holds for one edit of the traffic object
-// and is void after the next.
+// Plan describes the effects of an intent. It is valid for a single edit of the
+// traffic object.
 type Plan struct {
 	ID     string   `json:"id"`
 	Intent Envelope `json:"intent"`
-	// Edit is the edit of the traffic object that it was made from.
+	// Edit is the edit of the traffic object that the plan was made from.
 	Edit uint64    `json:"edit"`
 	Made time.Time `json:"made"`
-	// Changes are the moves to begin; Cap and Leaving the rest.
+	// Changes are the moves to add; Cap and Leaving are the cap and the drained
+	// worker to add.
 	Changes []spec.Move `json:"changes,omitempty"`
 	Cap     *spec.Cap   `json:"cap,omitempty"`
 	Leaving string      `json:"leaving,omitempty"`
 	Steps   []Step      `json:"steps,omitempty"`
 	Halls   []HallLoad  `json:"halls,omitempty"`
 	Links   []LinkLoad  `json:"links,omitempty"`
-	// Takes is the least time until the goal is reached.
+	// Takes is the minimum time until the goal is reached.
 	Takes time.Duration `json:"takes_ns"`
-	// PausedBy and StoppedBy list the rules that would hold the move up.
+	// PausedBy and StoppedBy list the conditions that would pause, reduce or stop
+	// the move.
 	PausedBy  []string `json:"paused_by,omitempty"`
 	StoppedBy []string `json:"stopped_by,omitempty"`
 	Notes     []string `json:"notes,omitempty"`
 }
 
-// Step is one planned growth of the share.
+// Step is a planned increase of the share.
 type Step struct {
 	Number int           `json:"number"`
 	Share  share.PPM     `json:"share"`
 	After  time.Duration `json:"after_ns"`
 }
 
-// HallLoad is the work in flight of one service in one hall, in slots.
+// HallLoad is the predicted number of slots in use by a service in a hall.
 type HallLoad struct {
 	Hall     string        `json:"hall"`
 	Service  string        `json:"service"`
@@ -73,7 +76,7 @@
 	Age      time.Duration `json:"age_ns"`
 }
 
-// LinkLoad is the traffic over one link, in bytes per second.
+// LinkLoad is the predicted traffic over a link, in bytes per second.
 type LinkLoad struct {
 	From   string  `json:"from"`
 	To     string  `json:"to"`
@@ -82,7 +85,7 @@
 	After  float64 `json:"after"`
 }
 
-// Refusal says why no plan can be made.
+// Refusal explains why no plan can be made.
 type Refusal struct {
 	Reason string
 }
@@ -94,27 +97,28 @@
 	return &Refusal{Reason: fmt.Sprintf(format, args...)}
 }
 
-// Make answers an intent with a plan. It returns ErrIntent if the intent names
-// what does not exist, and a *Refusal if it cannot be carried out.
+// Make returns a plan for an intent. It returns ErrInvalidIntent if the intent
+// refers to something that does not exist, and a *Refusal if it cannot be carried
+// out.
 func Make(in Intent, f Facts) (Plan, error) {
 	p := Plan{ID: f.ID, Intent: Envelope{Intent: in}, Edit: f.View.Traffic().Edit, Made: f.Now}
 	var err error
 	switch in := in.(type) {
 	case Shift:
-		err = p.shift(in, f)
+		err = p.planShift(in, f)
 	case DrainHall:
-		err = p.drainHall(in, f)
+		err = p.planDrainHall(in, f)
 	case DrainUpstream:
-		err = p.drainUpstream(in, f)
+		err = p.planDrainUpstream(in, f)
 	case Cap:
-		err = p.limit(in, f)
+		err = p.planCap(in, f)
 	default:
-		err = errors.Wrap(ErrIntent, "no intent given")
+		err = errors.Wrap(ErrIntent, "missing or unsupported intent")
 	}
 	return p, err
 }
 
-func (p *Plan) shift(in Shift, f Facts) error {
+func (p *Plan) planShift(in Shift, f Facts) error {
 	limit := in.Share
 	if in.Cap != nil {
 		limit = *in.Cap
@@ -136,7 +140,7 @@
 	if in.From == in.To {
 		return errors.Wrap(ErrIntent, "from and to are the same hall")
 	}
-	if err := p.notMoving(f, in.Service, in.From, in.To); err != nil {
+	if err := p.checkConflicts(f, in.Service, in.From, in.To); err != nil {
 		return err
 	}
 	m := spec.Move{
@@ -151,9 +155,9 @@
 	return p.predict(f)
 }
 
-// notMoving refuses a second move of a service between halls that a move in
-// force already touches in the other direction or in the same place.
-func (p *Plan) notMoving(f Facts, service, from, to string) error {
+// checkConflicts refuses a move out of a hall that a move in force already drains,
+// or into a hall that a move in force takes requests from.
+func (p *Plan) checkConflicts(f Facts, service, from, to string) error {
 	for _, m := range f.View.Traffic().Moves {
 		if m.Service != service || m.State == spec.MoveStopped {
 			continue
@@ -168,7 +172,7 @@
 	return nil
 }
 
-func (p *Plan) drainHall(in DrainHall, f Facts) error {
+func (p *Plan) planDrainHall(in DrainHall, f Facts) error {
 	if f.View.Fleet().Region(in.Hall) == "" {
 		return errors.Wrapf(ErrIntent, "hall %q is unknown", in.Hall)
 	}
@@ -180,11 +184,11 @@
 		if s.Slots(in.Hall) == 0 && f.Halls[in.Hall].Services[service].Offered == 0 {
 			continue
 		}
-		targets, err := p.targets(f, service, in.Hall)
+		targets, err := p.chooseTargets(f, service, in.Hall)
 		if err != nil {
 			return err
 		}
-		if err := p.notMoving(f, service, in.Hall, ""); err != nil {
+		if err := p.checkConflicts(f, service, in.Hall, ""); err != nil {
 			return err
 		}
 		p.Changes = append(p.Changes, spec.Move{
@@ -199,44 +203,45 @@
 	return p.predict(f)
 }
 
-// targets chooses where a hall's service goes: halls of the same region if they
-// have room for all of it, else every hall with room, by weight of the room.
-func (p *Plan) targets(f Facts, service, from string) ([]spec.Target, error) {
-	need := f.Halls[from].Services[service].Busy
+// chooseTargets selects the targets of a drain, weighted by spare slots: halls of
+// the same region if they have enough spare slots, otherwise all halls with spare
+// slots.
+func (p *Plan) chooseTargets(f Facts, service, from string) ([]spec.Target, error) {
+	needed := f.Halls[from].Services[service].Busy
 	region := f.View.Fleet().Region(from)
-	near, nearRoom := p.roomy(f, service, from, func(r string) bool { return r == region })
-	if len(near) > 0 && nearRoom >= need {
-		return near, nil
+	sameRegion, sameRegionSpare := p.hallsWithSpareSlots(f, service, from, func(r string) bool { return r == region })
+	if len(sameRegion) > 0 && sameRegionSpare >= needed {
+		return sameRegion, nil
 	}
-	all, room := p.roomy(f, service, from, func(string) bool { return true })
-	if len(all) == 0 || room < need {
+	all, totalSpare := p.hallsWithSpareSlots(f, service, from, func(string) bool { return true })
+	if len(all) == 0 || totalSpare < needed {
 		return nil, refuse("draining hall %s needs %.1f slots for %s, and the other halls have %.1f to spare within their headroom",
-			from, need, service, room)
+			from, needed, service, totalSpare)
 	}
 	return all, nil
 }
 
-func (p *Plan) roomy(f Facts, service, from string, in func(region string) bool) ([]spec.Target, float64) {
+func (p *Plan) hallsWithSpareSlots(f Facts, service, from string, includeRegion func(region string) bool) ([]spec.Target, float64) {
 	var targets []spec.Target
 	total := 0.0
 	for _, h := range f.View.Fleet().Halls {
-		if h.Name == from || !in(h.Region) || p.drained(f, service, h.Name) {
+		if h.Name == from || !includeRegion(h.Region) || p.isDrained(f, service, h.Name) {
 			continue
 		}
 		status, ok := f.Halls[h.Name]
 		if !ok || status.Age(f.Now) > FreshStatus {
 			continue
 		}
-		room := spare(status.Services[service], f.View.Fleet().Headroom())
-		if room >= 1 && len(targets) < spec.MaxTargets {
-			targets = append(targets, spec.Target{Hall: h.Name, Weight: uint32(room * 100)})
-			total += room
+		spare := spareSlots(status.Services[service], f.View.Fleet().Headroom())
+		if spare >= 1 && len(targets) < spec.MaxTargets {
+			targets = append(targets, spec.Target{Hall: h.Name, Weight: uint32(spare * 100)})
+			total += spare
 		}
 	}
 	return targets, total
 }
 
-func (p *Plan) drained(f Facts, service, hall string) bool {
+func (p *Plan) isDrained(f Facts, service, hall string) bool {
 	for _, m := range f.View.Moves(service, hall) {
 		if m.Drain {
 			return true
@@ -245,13 +250,13 @@
 	return false
 }
 
-// spare is how many slots a hall could take on and keep its headroom.
-func spare(s load.ServiceStatus, headroom share.PPM) float64 {
+// spareSlots returns how many slots are available without using the headroom.
+func spareSlots(s load.ServiceStatus, headroom share.PPM) float64 {
 	reserved := float64(headroom.Of(uint64(s.Usable)))
 	return float64(s.Usable) - reserved - math.Max(s.Busy, float64(s.InUse))
 }
 
-func (p *Plan) drainUpstream(in DrainUpstream, f Facts) error {
+func (p *Plan) planDrainUpstream(in DrainUpstream, f Facts) error {
 	for _, service := range f.View.Services() {
 		s, _ := f.View.Service(service)
 		for _, w := range s.Workers {
@@ -268,7 +273,7 @@
 	return errors.Wrapf(ErrIntent, "upstream %q is unknown", in.Upstream)
 }
 
-func (p *Plan) limit(in Cap, f Facts) error {
+func (p *Plan) planCap(in Cap, f Facts) error {
 	if in.Service != "" {
 		if _, ok := f.View.Service(in.Service); !ok {
 			return errors.Wrapf(ErrIntent, "service %q is unknown", in.Service)
--- a/coordination/intent/predict.go
+++ b/coordination/intent/predict.go
@@ -12,7 +12,8 @@
 	"github.com/ryehill/ryehill/state/spec"
 )
 
-// predict fills in steps, loads and time, and refuses what cannot be carried.
+// predict fills in the steps, loads and duration, and refuses a plan that exceeds
+// the capacity.
 func (p *Plan) predict(f Facts) error {
 	for _, m := range p.Changes {
 		if err := p.predictMove(f, m); err != nil {
@@ -46,28 +47,28 @@
 		total += t.Weight
 	}
 	for _, t := range m.Targets {
-		part := fraction(m.Goal) * float64(t.Weight) / float64(total)
-		if err := p.predictTarget(f, m, t.Hall, s, part); err != nil {
+		targetShare := fraction(m.Goal) * float64(t.Weight) / float64(total)
+		if err := p.predictTarget(f, m, t.Hall, s, targetShare); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-func (p *Plan) predictTarget(f Facts, m spec.Move, hall string, source load.ServiceStatus, part float64) error {
+func (p *Plan) predictTarget(f Facts, m spec.Move, hall string, source load.ServiceStatus, targetShare float64) error {
 	target, ok := f.Halls[hall]
 	if !ok || target.Age(f.Now) > FreshStatus {
 		return refuse("hall %s has sent no status within %s, so its headroom is unknown", hall, FreshStatus)
 	}
-	added := source.Busy * part
+	added := source.Busy * targetShare
 	l := hallLoad(target, m.Service, f.Now, added)
 	p.Halls = append(p.Halls, l)
-	room := spare(target.Services[m.Service], f.View.Fleet().Headroom())
-	if l.Usable == 0 || added > room {
+	spare := spareSlots(target.Services[m.Service], f.View.Fleet().Headroom())
+	if l.Usable == 0 || added > spare {
 		return refuse("hall %s has %d usable slots of %s, %.1f in use; %.1f more would leave less than the headroom of %s (room for %.1f)",
-			hall, l.Usable, m.Service, l.Before, added, f.View.Fleet().Headroom(), room)
+			hall, l.Usable, m.Service, l.Before, added, f.View.Fleet().Headroom(), spare)
 	}
-	return p.predictLink(f, m.From, hall, source.Bytes*part)
+	return p.predictLink(f, m.From, hall, source.Bytes*targetShare)
 }
 
 func (p *Plan) predictLink(f Facts, from, to string, added float64) error {
@@ -83,9 +84,9 @@
 			}
 		}
 		p.Links = append(p.Links, l)
-		if ceiling := fraction(linkCeiling) * float64(l.Limit); l.After > ceiling {
+		if ceiling := fraction(maxLinkUse) * float64(l.Limit); l.After > ceiling {
 			return refuse("link %s to %s would carry %.0f bytes/s, more than %s of its limit %d",
-				from, to, l.After, linkCeiling, l.Limit)
+				from, to, l.After, maxLinkUse, l.Limit)
 		}
 	}
 	return nil
@@ -136,7 +137,7 @@
 	p.Takes = time.Duration(longest) * interval
 }
 
-// StepsTo returns the shares that a move passes through on its way to a goal.
+// StepsTo returns the shares that a move passes through on the way to its goal.
 func StepsTo(goal, step share.PPM) []share.PPM {
 	var steps []share.PPM
 	for s := share.PPM(0); s < goal; {
--- a/coordination/membership/membership.go
+++ b/coordination/membership/membership.go
@@ -1,25 +1,24 @@
 // Copyright 2026 The ryehill Authors
 // SPDX-License-Identifier: Apache-2.0
 
-// Package membership keeps track of which VMs are live, leaving and gone,
-// without any consensus.
+// Package membership tracks which VMs are live, leaving and gone with a gossip
+// protocol in the manner of SWIM.
 //
-// Every VM probes a few others of its hall: those at distances 1, 2, 4, ... on a
-// ring of hashed ids, so that the number of probes grows with the logarithm of
-// the hall. A VM that does not answer is suspected, and gone after a time unless
-// it refutes the suspicion. News travels on the probes themselves, each item a
-// bounded number of times. Records are ordered by the VM's start number, then by
-// its incarnation, then by state, so that all VMs that have seen the same news
-// hold the same record, in whatever order it came.
+// Every VM probes the VMs of its hall at distances 1, 2, 4, ... on a ring of hashed
+// ids, one per interval, so the number of probes does not grow with the hall. A VM
+// that does not answer becomes suspect, and gone after a timeout unless it refutes
+// the suspicion. Membership updates are piggybacked on probes, each a bounded
+// number of times. Records are ordered by start number, then incarnation, then
+// state, so the records of all VMs converge whatever the order of updates.
 //
-// The package does no I/O: the daemon sends the probes that Probes names and
-// reports how they went.
+// The package does no I/O: the caller sends the probes that NextProbes returns and
+// reports their results.
 //
 // # Usage
 //
 //	table := membership.New(membership.Config{Self: self, Now: time.Now})
-//	for _, peer := range table.Probes() { /* send table.News(peer) */ }
-//	table.Heard(peer, news)
+//	for _, peer := range table.NextProbes() { /* send table.Updates(peer.ID) */ }
+//	table.ApplyUpdates(received)
 package membership
 
 import (
@@ -31,8 +30,8 @@
 	"github.com/ryehill/ryehill/state/spec"
 )
 
-// State is what is known of a VM. A later state of one start and incarnation
-// takes the place of an earlier one.
+// State is the membership state of a VM. Within one start and incarnation, a later
+// state overrides an earlier one.
 type State int
 
 // States of a VM, in order of precedence.
@@ -48,74 +47,76 @@
 	return [...]string{"live", "suspect", "leaving", "gone"}[s]
 }
 
-// Times of detection.
+// Timing and limits of failure detection and gossip.
 const (
-	// ProbeInterval is the time between two probes by one VM.
+	// ProbeInterval is the time between two probes by a VM.
 	ProbeInterval = time.Second
-	// SuspectFor is how long a suspected VM has to refute.
+	// SuspectFor is how long a suspect VM has to refute the suspicion.
 	SuspectFor = 3 * time.Second
 	// RetryGone is how often a VM that is gone but still listed is probed.
 	RetryGone = 5 * time.Second
-	// PauseLimit is the gap between two ticks after which a VM must assume
-	// that it was frozen and that others have taken over from it.
+	// PauseLimit is the time between two ticks beyond which a VM must assume that
+	// it was frozen and that others have taken over its work.
 	PauseLimit = SuspectFor / 2
-	// newsRepeats is how often an item is passed on, times log2 of the hall.
-	newsRepeats = 3
-	// maxNews bounds the items on one probe.
-	maxNews = 8
-	// maxOldNews is how many items that everyone should have heard are told
-	// again, in turn, for VMs that came later.
-	maxOldNews = 2
+	// retransmitFactor scales how often an update is sent, with the base-2
+	// logarithm of the number of members.
+	retransmitFactor = 3
+	// maxUpdates limits the updates on a probe before repeated ones are added.
+	maxUpdates = 8
+	// maxRepeatedUpdates is how many records a probe repeats in turn, for VMs that
+	// joined after their updates were distributed.
+	maxRepeatedUpdates = 2
 )
 
-// Member is what is known of one VM.
+// Member is the membership record of a VM.
 type Member struct {
 	spec.VM
-	// Start numbers the process; 0 is a VM known from the list alone.
+	// Start is the start number of the process. It is 0 for a VM that is known only
+	// from the platform's list or the settings.
 	Start       uint64
 	Incarnation uint32
 	State       State
 }
 
-// Usable reports whether the VM may be given work.
+// Usable reports whether the VM may receive work.
 func (m Member) Usable() bool {
 	return m.State <= StateSuspect && m.VM.State != spec.VMLeaving
 }
 
-// Config sets up a Table. Self and Now are required.
+// Config configures a Table. Self and Now are required.
 type Config struct {
 	Self Member
-	// AcrossHalls puts the VMs of all halls on one ring, so that every VM may
-	// be probed by any other. It is for fleets whose halls hold few VMs each.
+	// AcrossHalls puts the VMs of all halls on one ring, for fleets with few VMs
+	// per hall.
 	AcrossHalls bool
-	// Now is the clock, which must not run backwards.
+	// Now is the clock. It must not run backwards.
 	Now func() time.Time
 }
 
-// Table holds the members. It is safe for concurrent use.
+// Table holds the membership records. It is safe for concurrent use.
 type Table struct {
 	cfg Config
 
-	mu       sync.Mutex
-	self     Member
-	members  map[string]*record
-	listed   map[string]bool
-	list     uint64
-	next     int
-	oldNews  string // the last id that was told again
-	lastTick time.Time
-	changed  chan struct{}
-	views    views
+	mu           sync.Mutex
+	self         Member
+	members      map[string]*record
+	listed       map[string]bool
+	listVersion  uint64
+	probeIndex   int
+	lastRepeated string // id of the latest repeated record
+	lastTick     time.Time
+	changed      chan struct{}
+	views        sortedViews
 }
 
 type record struct {
 	Member
-	since  time.Time // when the state began
-	probed time.Time
-	sent   int // how often the record was passed on since it changed
+	stateSince    time.Time // start of the current state
+	lastProbe     time.Time
+	transmissions int // sends since the last change
 }
 
-// New returns a table that knows only its own VM.
+// New returns a table that contains only the local VM.
 func New(cfg Config) *Table {
 	return &Table{
 		cfg:      cfg,
@@ -127,34 +128,35 @@
 	}
 }
 
-// Changed returns a channel that receives after members have changed.
+// Changed returns a channel that receives a value after members change.
 func (t *Table) Changed() <-chan struct{} { return t.changed }
 
-// Self returns the record of the table's own VM.
+// Self returns the local VM's record.
 func (t *Table) Self() Member {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.self
 }
 
-// Leave marks the own VM as leaving, for good.
+// Leave marks the local VM as leaving. This cannot be undone.
 func (t *Table) Leave() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.self.State = StateLeaving
 	t.self.Incarnation++
-	t.memberChanged()
+	t.notifyChanged()
 }
 
-// SetList takes in a version of the platform's list; an older one is ignored.
-// VMs that the list no longer holds are dropped once they are gone.
+// SetList applies a version of the platform's list. An older version is ignored. A
+// VM that is no longer listed is removed if it is gone or was known only from the
+// list.
 func (t *Table) SetList(l spec.VMList) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if l.Version == 0 || l.Version < t.list {
-		return // None was heard yet, or an older one.
+	if l.Version == 0 || l.Version < t.listVersion {
+		return // No list yet, or an older version.
 	}
-	t.list = l.Version
+	t.listVersion = l.Version
 	clear(t.listed)
 	for _, vm := range l.VMs {
 		t.listed[vm.ID] = true
@@ -163,49 +165,49 @@
 		}
 		r, ok := t.members[vm.ID]
 		if !ok {
-			r = &record{since: t.cfg.Now()}
+			r = &record{stateSince: t.cfg.Now()}
 			t.members[vm.ID] = r
 		}
 		if r.Start == 0 || r.Peer == vm.Peer {
 			r.VM = vm
 			continue
 		}
-		// The list names another address than the VM itself gave: the
-		// process that was heard is newer than the list, or gone.
+		// The VM announced a different address than the list has, so the list is
+		// outdated or the announcing process has ended. Keep its address.
 		r.VM.State = vm.State
 	}
 	t.dropUnlisted()
-	t.memberChanged()
+	t.notifyChanged()
 }
 
 func (t *Table) dropUnlisted() {
-	if t.list == 0 {
-		return // Without a list, the peers of the settings are all there is.
+	if t.listVersion == 0 {
+		return // Keep the peers of the settings until there is a list.
 	}
 	for id, r := range t.members {
 		if !t.listed[id] && (r.State == StateGone || r.Start == 0) {
 			delete(t.members, id)
-			t.views.ids = nil
-			t.memberChanged()
+			t.views.startedIDs = nil
+			t.notifyChanged()
 		}
 	}
 }
 
-// Heard takes in news that came from a peer, its own record first. News of
-// this VM that calls it suspect or gone is refuted by a higher incarnation.
-func (t *Table) Heard(news []Member) {
+// Heard applies updates received from a peer. An update that gives the local VM a
+// later state than its own is refuted with a higher incarnation.
+func (t *Table) Heard(updates []Member) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	changed := false
-	for _, m := range news {
+	for _, m := range updates {
 		if m.ID == t.self.ID {
 			t.refute(m)
 			continue
 		}
-		changed = t.merge(m) || changed
+		changed = t.mergeMember(m) || changed
 	}
 	if changed {
-		t.memberChanged()
+		t.notifyChanged()
 	}
 }
 
@@ -215,14 +217,14 @@
 	}
 }
 
-func (t *Table) merge(m Member) bool {
+func (t *Table) mergeMember(m Member) bool {
 	r, ok := t.members[m.ID]
 	if !ok {
 		if len(t.members) >= spec.MaxVMs || m.State == StateGone {
 			return false
 		}
-		t.members[m.ID] = &record{Member: m, since: t.cfg.Now()}
-		t.views.ids = nil
+		t.members[m.ID] = &record{Member: m, stateSince: t.cfg.Now()}
+		t.views.startedIDs = nil
 		return true
 	}
 	order := cmp.Or(
@@ -234,20 +236,20 @@
 		return false
 	}
 	if r.State == StateLeaving && m.Start == r.Start && m.State < StateLeaving {
-		m.State = StateLeaving // Leaving is for the whole life of a start.
+		m.State = StateLeaving // A start that is leaving does not become live again.
 	}
 	if r.Start == 0 {
-		t.views.ids = nil
+		t.views.startedIDs = nil
 	}
 	listState := r.VM.State
 	r.Member = m
 	r.VM.State = listState
-	r.since = t.cfg.Now()
-	r.sent = 0
+	r.stateSince = t.cfg.Now()
+	r.transmissions = 0
 	return true
 }
 
-// Failed notes that a VM did not answer a probe.
+// Failed records that a VM did not answer a probe.
 func (t *Table) Failed(id string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -256,13 +258,14 @@
 		return
 	}
 	r.State = StateSuspect
-	r.since = t.cfg.Now()
-	r.sent = 0
-	t.memberChanged()
+	r.stateSince = t.cfg.Now()
+	r.transmissions = 0
+	t.notifyChanged()
 }
 
-// Tick moves suspects on. It reports true if the process must have been frozen
-// since the last tick, so that whatever it held by a term has to be given up.
+// Tick declares suspects gone after the timeout. It reports whether the process
+// must have been frozen since the last tick, so that the caller has to give up its
+// leases.
 func (t *Table) Tick() (frozen bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -273,11 +276,11 @@
 		if r.State != StateSuspect && r.State != StateLeaving {
 			continue
 		}
-		if r.State == StateSuspect && now.Sub(r.since) >= SuspectFor && !frozen {
+		if r.State == StateSuspect && now.Sub(r.stateSince) >= SuspectFor && !frozen {
 			r.State = StateGone
-			r.since = now
-			r.sent = 0
-			t.memberChanged()
+			r.stateSince = now
+			r.transmissions = 0
+			t.notifyChanged()
 		}
 	}
 	if frozen {
@@ -287,19 +290,20 @@
 	return frozen
 }
 
-// Probes returns the VM to probe now, if any, and at times one that is gone.
+// Probes returns the members to probe now: the next one on the ring, and from time
+// to time one that is gone.
 func (t *Table) Probes() []Member {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	now := t.cfg.Now()
 	var probes []Member
-	if fingers := t.fingers(); len(fingers) > 0 {
-		t.next++
-		probes = append(probes, t.members[fingers[t.next%len(fingers)]].Member)
+	if targets := t.probeTargets(); len(targets) > 0 {
+		t.probeIndex++
+		probes = append(probes, t.members[targets[t.probeIndex%len(targets)]].Member)
 	}
 	for id, r := range t.members {
-		if t.probes(r.Member) && r.State == StateGone && t.listed[id] && now.Sub(r.probed) >= RetryGone {
-			r.probed = now
+		if t.onRing(r.Member) && r.State == StateGone && t.listed[id] && now.Sub(r.lastProbe) >= RetryGone {
+			r.lastProbe = now
 			probes = append(probes, r.Member)
 			break
 		}
@@ -307,10 +311,10 @@
 	return probes
 }
 
-// probes reports whether this VM's ring holds a member.
-func (t *Table) probes(m Member) bool { return t.cfg.AcrossHalls || m.Hall == t.self.Hall }
+// onRing reports whether a member is on the local VM's ring.
+func (t *Table) onRing(m Member) bool { return t.cfg.AcrossHalls || m.Hall == t.self.Hall }
 
-// Listed returns the VMs that the platform's list names, in no order.
+// Listed returns the VMs in the platform's list, in no particular order.
 func (t *Table) Listed() []Member {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -325,48 +329,48 @@
 	return listed
 }
 
-// News returns what to tell a peer: the own record, then what changed last and
-// was not passed on often enough, then what this VM holds against the peer.
+// News returns the updates to send to a peer: the local record, the peer's own
+// record if it is not live, recent changes with sends left, and repeated records.
 func (t *Table) News(peer string) []Member {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	news := []Member{t.self}
+	updates := []Member{t.self}
 	if r, ok := t.members[peer]; ok && r.State != StateLive {
-		news = append(news, r.Member)
+		updates = append(updates, r.Member)
 	}
-	limit := newsRepeats
+	limit := retransmitFactor
 	for n := len(t.members); n > 1; n /= 2 {
-		limit += newsRepeats
+		limit += retransmitFactor
 	}
 	for id, r := range t.members {
-		if len(news) >= maxNews {
+		if len(updates) >= maxUpdates {
 			break
 		}
-		if id != peer && r.Start != 0 && r.sent < limit {
-			r.sent++
-			news = append(news, r.Member)
+		if id != peer && r.Start != 0 && r.transmissions < limit {
+			r.transmissions++
+			updates = append(updates, r.Member)
 		}
 	}
-	return t.addOldNews(news, peer)
+	return t.appendRepeatedUpdates(updates, peer)
 }
 
-// addOldNews appends the next members in the order of their ids.
-func (t *Table) addOldNews(news []Member, peer string) []Member {
-	ids := t.heardOf()
-	for range min(maxOldNews, len(ids)) {
-		i, found := slices.BinarySearch(ids, t.oldNews)
+// appendRepeatedUpdates appends the next records in the order of their ids.
+func (t *Table) appendRepeatedUpdates(updates []Member, peer string) []Member {
+	ids := t.startedIDs()
+	for range min(maxRepeatedUpdates, len(ids)) {
+		i, found := slices.BinarySearch(ids, t.lastRepeated)
 		if found {
 			i++
 		}
-		t.oldNews = ids[i%len(ids)]
-		if t.oldNews != peer {
-			news = append(news, t.members[t.oldNews].Member)
+		t.lastRepeated = ids[i%len(ids)]
+		if t.lastRepeated != peer {
+			updates = append(updates, t.members[t.lastRepeated].Member)
 		}
 	}
-	return news
+	return updates
 }
 
-// Member returns what is known of a VM.
+// Member returns the record of a VM.
 func (t *Table) Member(id string) (Member, bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -380,8 +384,8 @@
 	return r.Member, true
 }
 
-// Hall returns the usable VMs of a hall in order of their ids. The own VM is
-// among those of its hall while it is not leaving.
+// Hall returns the usable VMs of a hall, ordered by id. The local VM is included in
+// its own hall unless it is leaving.
 func (t *Table) Hall(hall string) []Member {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -398,22 +402,22 @@
 	return members
 }
 
-// All returns every known VM but the own one, in order of their ids. The slice must not be
-// changed.
+// All returns every known VM except the local one, ordered by id. The caller must
+// not modify the slice.
 func (t *Table) All() []Member {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return slices.Clip(t.sorted())
+	return slices.Clip(t.sortedMembers())
 }
 
-// Len returns how many VMs are known beside the own one.
+// Len returns the number of known VMs, not counting the local one.
 func (t *Table) Len() int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return len(t.members)
 }
 
-// ListedLen returns how many VMs the platform's list names.
+// ListedLen returns the number of VMs in the platform's list.
 func (t *Table) ListedLen() int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/coordination/membership/membership_test.go
+++ b/coordination/membership/membership_test.go
@@ -15,20 +15,20 @@
 	"github.com/ryehill/ryehill/state/spec"
 )
 
-// hall is some tables that probe each other over a fake network.
-type hall struct {
-	clock  *clockwork.FakeClock
-	tables map[string]*membership.Table
-	list   spec.VMList
-	frozen map[string]bool
-	cut    func(a, b string) bool
-	probes int
+// testHall holds tables that probe each other over a simulated network.
+type testHall struct {
+	clock       *clockwork.FakeClock
+	tables      map[string]*membership.Table
+	list        spec.VMList
+	frozen      map[string]bool
+	partitioned func(a, b string) bool
+	probes      int
 }
 
-func newHall(n int) *hall {
-	h := &hall{
+func newHall(n int) *testHall {
+	h := &testHall{
 		clock: clockwork.NewFakeClock(), tables: make(map[string]*membership.Table), frozen: make(map[string]bool),
-		cut: func(string, string) bool { return false },
+		partitioned: func(string, string) bool { return false },
 	}
 	h.list.Version = 1
 	for i := range n {
@@ -40,13 +40,13 @@
 	return h
 }
 
-func (h *hall) start(vm spec.VM, start uint64) {
+func (h *testHall) start(vm spec.VM, start uint64) {
 	h.tables[vm.ID] = membership.New(membership.Config{Now: h.clock.Now, Self: membership.Member{VM: vm, Start: start}})
 	h.tables[vm.ID].SetList(h.list)
 }
 
-// round lets every VM that is not frozen take one step.
-func (h *hall) round() {
+// runRound advances every VM that is not frozen by one interval.
+func (h *testHall) runRound() {
 	h.clock.Advance(membership.ProbeInterval)
 	for id, table := range h.tables {
 		if h.frozen[id] {
@@ -56,7 +56,7 @@
 		for _, m := range table.Probes() {
 			h.probes++
 			other, ok := h.tables[m.ID]
-			if !ok || h.frozen[m.ID] || h.cut(id, m.ID) {
+			if !ok || h.frozen[m.ID] || h.partitioned(id, m.ID) {
 				table.Failed(m.ID)
 				continue
 			}
@@ -66,14 +66,15 @@
 	}
 }
 
-func (h *hall) rounds(n int) {
+func (h *testHall) runRounds(n int) {
 	for range n {
-		h.round()
+		h.runRound()
 	}
 }
 
-// agree reports whether every VM at work takes exactly these others for usable.
-func (h *hall) disagreement(usable map[string]bool) string {
+// disagreement describes a VM whose view of usable VMs differs from the given one,
+// or returns "".
+func (h *testHall) disagreement(usable map[string]bool) string {
 	for id, table := range h.tables {
 		if h.frozen[id] {
 			continue
@@ -84,14 +85,14 @@
 		}
 		for other := range h.tables {
 			if found[other] != usable[other] {
-				return fmt.Sprintf("%s takes %s for usable: %t", id, other, found[other])
+				return fmt.Sprintf("%s considers %s usable: %t", id, other, found[other])
 			}
 		}
 	}
 	return ""
 }
 
-func all(h *hall) map[string]bool {
+func allUsable(h *testHall) map[string]bool {
 	usable := make(map[string]bool)
 	for id := range h.tables {
 		usable[id] = true
@@ -99,37 +100,37 @@
 	return usable
 }
 
-// A VM that is killed, frozen, leaves, or is started anew is known as such by
-// all others within a bounded time, at 2 VMs a hall and at 37.
-func TestChangesAreKnownToAll(t *testing.T) {
-	cases := map[string]func(h *hall) map[string]bool{
-		"frozen": func(h *hall) map[string]bool {
+// Failures, departures and restarts must become known to all VMs within a bounded
+// time.
+func TestChangesReachAllVMs(t *testing.T) {
+	cases := map[string]func(h *testHall) map[string]bool{
+		"frozen": func(h *testHall) map[string]bool {
 			h.frozen["vm0"] = true
-			usable := all(h)
+			usable := allUsable(h)
 			delete(usable, "vm0")
 			return usable
 		},
-		"leaving": func(h *hall) map[string]bool {
+		"leaving": func(h *testHall) map[string]bool {
 			h.tables["vm0"].Leave()
-			usable := all(h)
+			usable := allUsable(h)
 			delete(usable, "vm0")
 			return usable
 		},
-		"started anew": func(h *hall) map[string]bool {
+		"started anew": func(h *testHall) map[string]bool {
 			h.start(h.list.VMs[0], 2)
-			return all(h)
+			return allUsable(h)
 		},
 	}
 	for name, change := range cases {
 		for _, n := range []int{2, 11, 37} {
 			t.Run(fmt.Sprintf("%s of %d", name, n), func(t *testing.T) {
 				h := newHall(n)
-				h.rounds(20)
-				if d := h.disagreement(all(h)); d != "" {
+				h.runRounds(20)
+				if d := h.disagreement(allUsable(h)); d != "" {
 					t.Fatal("before: ", d)
 				}
 				usable := change(h)
-				h.rounds(25)
+				h.runRounds(25)
 				if d := h.disagreement(usable); d != "" {
 					t.Fatal(d)
 				}
@@ -138,146 +139,145 @@
 	}
 }
 
-// A frozen VM that wakes is taken back, and hears that it must give up its terms.
-func TestFrozenVMComesBack(t *testing.T) {
+// A frozen VM must detect the pause and rejoin.
+func TestFrozenVMRejoins(t *testing.T) {
 	h := newHall(5)
-	h.rounds(10)
+	h.runRounds(10)
 	h.frozen["vm1"] = true
-	h.rounds(15)
+	h.runRounds(15)
 	h.frozen["vm1"] = false
 	if !h.tables["vm1"].Tick() {
-		t.Fatal("the VM did not notice that it was frozen")
+		t.Fatal("the VM did not detect that it was frozen")
 	}
-	h.rounds(25)
-	if d := h.disagreement(all(h)); d != "" {
+	h.runRounds(25)
+	if d := h.disagreement(allUsable(h)); d != "" {
 		t.Fatal(d)
 	}
 }
 
-// A hall that was cut in two joins again.
-func TestCutHallJoinsAgain(t *testing.T) {
+// A partitioned hall must merge again.
+func TestPartitionedHallMerges(t *testing.T) {
 	h := newHall(6)
-	h.rounds(10)
-	side := func(id string) bool { return id < "vm3" }
-	h.cut = func(a, b string) bool { return side(a) != side(b) }
-	h.rounds(20)
+	h.runRounds(10)
+	inFirstHalf := func(id string) bool { return id < "vm3" }
+	h.partitioned = func(a, b string) bool { return inFirstHalf(a) != inFirstHalf(b) }
+	h.runRounds(20)
 	for _, m := range h.tables["vm0"].Hall("a") {
-		if !side(m.ID) {
-			t.Fatalf("vm0 takes %s of the other side for usable", m.ID)
+		if !inFirstHalf(m.ID) {
+			t.Fatalf("vm0 considers %s of the other partition usable", m.ID)
 		}
 	}
-	h.cut = func(string, string) bool { return false }
-	h.rounds(40)
-	if d := h.disagreement(all(h)); d != "" {
+	h.partitioned = func(string, string) bool { return false }
+	h.runRounds(40)
+	if d := h.disagreement(allUsable(h)); d != "" {
 		t.Fatal(d)
 	}
 }
 
-// News in any order leads all tables to the same record.
-func TestOrderOfNewsDoesNotMatter(t *testing.T) {
+// The record must not depend on the order of updates.
+func TestUpdateOrderDoesNotMatter(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		var news []membership.Member
+		var updates []membership.Member
 		for range rapid.IntRange(1, 8).Draw(t, "items") {
-			news = append(news, membership.Member{
+			updates = append(updates, membership.Member{
 				VM:    spec.VM{ID: "vm9", Hall: "a", Entry: "10.0.0.9:1", Peer: "10.0.0.9:2", State: spec.VMLive},
 				Start: uint64(rapid.IntRange(1, 2).Draw(t, "start")), Incarnation: uint32(rapid.IntRange(0, 2).Draw(t, "incarnation")),
-				// Leaving is sticky, which is an order of its own; see TestChangesAreKnownToAll.
+				// Leaving is excluded, as it persists for a start; see
+				// TestChangesReachAllVMs.
 				State: rapid.SampledFrom([]membership.State{membership.StateLive, membership.StateSuspect}).Draw(t, "state"),
 			})
 		}
-		hear := func(order []int) membership.Member {
+		applyInOrder := func(order []int) membership.Member {
 			table := newHall(1).tables["vm0"]
 			for _, i := range order {
-				table.Heard([]membership.Member{news[i]})
+				table.Heard([]membership.Member{updates[i]})
 			}
 			m, _ := table.Member("vm9")
 			return m
 		}
-		order := make([]int, len(news))
+		order := make([]int, len(updates))
 		for i := range order {
 			order[i] = i
 		}
-		first := hear(order)
-		if second := hear(rapid.Permutation(order).Draw(t, "order")); first != second {
+		first := applyInOrder(order)
+		if second := applyInOrder(rapid.Permutation(order).Draw(t, "order")); first != second {
 			t.Fatalf("%+v and %+v", first, second)
 		}
 	})
 }
 
-// The probes that a VM sends do not grow with its hall.
+// The probe rate of a VM must not grow with its hall.
 func TestProbesAreBounded(t *testing.T) {
 	for _, n := range []int{2, 37} {
 		h := newHall(n)
-		h.rounds(30)
+		h.runRounds(30)
 		if perVM := float64(h.probes) / float64(n) / 30; perVM > 1.01 {
-			t.Errorf("%d VMs: %.2f probes a VM and interval", n, perVM)
+			t.Errorf("%d VMs: %.2f probes per VM and interval", n, perVM)
 		}
 	}
 }
 
-func TestSeedsOutliveAnEmptyList(t *testing.T) {
+func TestConfiguredPeersSurviveEmptyList(t *testing.T) {
 	table := newHall(1).tables["vm0"]
 	seeded := membership.New(membership.Config{Now: time.Now, Self: table.Self()})
 	seeded.Heard([]membership.Member{{VM: spec.VM{ID: "peer", Hall: "a", Peer: "10.0.0.2:1"}}})
 	seeded.SetList(spec.VMList{})
 	seeded.Tick()
 	if len(seeded.Probes()) != 1 {
-		t.Fatal("the peer of the settings is not probed")
+		t.Fatal("the configured peer is not probed")
 	}
 }
 
-// An idle VM asks its table several times a second, whatever the size of the fleet. While
-// no member changes, that costs the same for 100 members as for 1,600.
+// Polling an unchanged table must not cost more with more members.
 func TestIdleTableDoesNotSort(t *testing.T) {
-	idle := func(members int) int64 {
+	bytesPerPoll := func(members int) int64 {
 		table := membership.New(membership.Config{Now: time.Now, AcrossHalls: true, Self: membership.Member{VM: spec.VM{ID: "self", Hall: "h"}, Start: 1}})
-		news := make([]membership.Member, 0, members)
+		updates := make([]membership.Member, 0, members)
 		for i := range members {
-			news = append(news, membership.Member{VM: spec.VM{ID: fmt.Sprint("vm", i), Hall: "h"}, Start: 1})
+			updates = append(updates, membership.Member{VM: spec.VM{ID: fmt.Sprint("vm", i), Hall: "h"}, Start: 1})
 		}
-		table.Heard(news)
+		table.Heard(updates)
 		table.All()
-		return bytesOf(func() {
+		return allocatedBytes(func() {
 			if len(table.All()) != members {
 				t.Fatal("members are missing")
 			}
 			table.Probes()
 		})
 	}
-	if small, large := idle(100), idle(1600); large > 2*small {
+	if small, large := bytesPerPoll(100), bytesPerPoll(1600); large > 2*small {
 		t.Errorf("%d bytes with 1,600 members, %d with 100", large, small)
 	}
 }
 
-// News of states that come one after the other, as when VMs leave or start, do not make a VM
-// sort all members for each probe that it sends meanwhile.
-func TestNewsDoesNotSortForEachChange(t *testing.T) {
-	tell := func(members int) int64 {
+// Changes of state must not sort all members for each probe.
+func TestUpdatesDoNotSortForEachChange(t *testing.T) {
+	bytesPerUpdate := func(members int) int64 {
 		table := membership.New(membership.Config{Now: time.Now, AcrossHalls: true, Self: membership.Member{VM: spec.VM{ID: "self", Hall: "h"}, Start: 1}})
-		news := make([]membership.Member, 0, members)
+		updates := make([]membership.Member, 0, members)
 		for i := range members {
-			news = append(news, membership.Member{VM: spec.VM{ID: fmt.Sprint("vm", i), Hall: "h"}, Start: 1})
+			updates = append(updates, membership.Member{VM: spec.VM{ID: fmt.Sprint("vm", i), Hall: "h"}, Start: 1})
 		}
-		table.Heard(news)
+		table.Heard(updates)
 		for range 100 {
-			table.News("vm0") // Until what is new was told often enough.
+			table.News("vm0") // Use up the sends of the initial updates.
 		}
 		round := uint32(0)
-		return bytesOf(func() {
+		return allocatedBytes(func() {
 			round++
-			changed := news[int(round)%members]
+			changed := updates[int(round)%members]
 			changed.Incarnation = round
 			table.Heard([]membership.Member{changed})
 			table.News("vm0")
 		})
 	}
-	if small, large := tell(100), tell(1600); large > 2*small {
+	if small, large := bytesPerUpdate(100), bytesPerUpdate(1600); large > 2*small {
 		t.Errorf("%d bytes with 1,600 members, %d with 100", large, small)
 	}
 }
 
-// bytesOf returns the bytes that a call allocates, which grow with what it copies and sorts.
-func bytesOf(call func()) int64 {
+// allocatedBytes returns the bytes allocated per call.
+func allocatedBytes(call func()) int64 {
 	return testing.Benchmark(func(b *testing.B) {
 		for b.Loop() {
 			call()
--- a/coordination/membership/view.go
+++ b/coordination/membership/view.go
@@ -10,21 +10,21 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// views are what is asked of a table again and again, and sorted. Each is made when it is
-// asked for and kept until what it shows changes: to sort hundreds of VMs for each probe and
-// each question for news would be most of what an idle VM does.
-type views struct {
-	// all are the members in order of their ids.
+// sortedViews caches sorted views of a table. Each is built on demand and kept
+// until its content changes, as sorting for every probe would dominate the CPU use
+// of an idle VM.
+type sortedViews struct {
+	// all holds the members ordered by id.
 	all []Member
-	// fingers are the ids of the members to be probed in turn.
-	fingers []string
-	// ids are those of the members that were heard of, in order. They stay as they are
-	// while only states change, as they do at many VMs at once.
-	ids []string
+	// probeTargets holds the ids of the members to probe in turn.
+	probeTargets []string
+	// startedIDs holds the ids of the members with a start number, in ascending
+	// order. A change of state leaves it valid.
+	startedIDs []string
 }
 
-// sorted returns the members in order of their ids.
-func (t *Table) sorted() []Member {
+// sortedMembers returns the members ordered by id.
+func (t *Table) sortedMembers() []Member {
 	if t.views.all == nil {
 		t.views.all = make([]Member, 0, len(t.members))
 		for _, r := range t.members {
@@ -35,53 +35,54 @@
 	return t.views.all
 }
 
-// heardOf returns the ids of the members that were heard of, in order.
-func (t *Table) heardOf() []string {
-	if t.views.ids == nil {
-		t.views.ids = make([]string, 0, len(t.members))
+// startedIDs returns the ids of the members with a start number, in ascending
+// order.
+func (t *Table) startedIDs() []string {
+	if t.views.startedIDs == nil {
+		t.views.startedIDs = make([]string, 0, len(t.members))
 		for id, r := range t.members {
 			if r.Start != 0 {
-				t.views.ids = append(t.views.ids, id)
+				t.views.startedIDs = append(t.views.startedIDs, id)
 			}
 		}
-		slices.Sort(t.views.ids)
+		slices.Sort(t.views.startedIDs)
 	}
-	return t.views.ids
+	return t.views.startedIDs
 }
 
-// fingers returns the ids of the members to be probed in turn.
-func (t *Table) fingers() []string {
-	if t.views.fingers == nil {
-		t.views.fingers = t.fingersAmong(t.members)
+// probeTargets returns the ids of the members to probe in turn.
+func (t *Table) probeTargets() []string {
+	if t.views.probeTargets == nil {
+		t.views.probeTargets = t.computeProbeTargets(t.members)
 	}
-	return t.views.fingers
+	return t.views.probeTargets
 }
 
-// fingersAmong returns the members at distances 1, 2, 4, ... on the ring. A leaving VM is
-// no finger: it tells by itself when it has ended.
-func (t *Table) fingersAmong(members map[string]*record) []string {
-	type place struct {
-		id string
-		at uint64
+// computeProbeTargets returns the ids at distances 1, 2, 4, ... on the ring. A
+// leaving VM is not probed, as it announces its own end.
+func (t *Table) computeProbeTargets(members map[string]*record) []string {
+	type ringPosition struct {
+		id     string
+		offset uint64
 	}
 	own := xxhash.Sum64String(t.self.ID)
-	ring := make([]place, 0, len(members))
+	ring := make([]ringPosition, 0, len(members))
 	for id, r := range members {
-		if t.probes(r.Member) && r.State <= StateSuspect {
-			ring = append(ring, place{id: id, at: xxhash.Sum64String(id) - own})
+		if t.onRing(r.Member) && r.State <= StateSuspect {
+			ring = append(ring, ringPosition{id: id, offset: xxhash.Sum64String(id) - own})
 		}
 	}
-	slices.SortFunc(ring, func(a, b place) int { return cmp.Compare(a.at, b.at) })
-	fingers := []string{}
+	slices.SortFunc(ring, func(a, b ringPosition) int { return cmp.Compare(a.offset, b.offset) })
+	targets := []string{}
 	for distance := 1; distance <= len(ring); distance *= 2 {
-		fingers = append(fingers, ring[distance-1].id)
+		targets = append(targets, ring[distance-1].id)
 	}
-	return fingers
+	return targets
 }
 
-// memberChanged forgets what shows states of members, and tells that these have changed.
-func (t *Table) memberChanged() {
-	t.views.all, t.views.fingers = nil, nil
+// notifyChanged drops the views that contain states and signals the change.
+func (t *Table) notifyChanged() {
+	t.views.all, t.views.probeTargets = nil, nil
 	select {
 	case t.changed <- struct{}{}:
 	default:
--- a/protocol/outcome/outcome.go
+++ b/protocol/outcome/outcome.go
@@ -1,15 +1,16 @@
 // Copyright 2026 The ryehill Authors
 // SPDX-License-Identifier: Apache-2.0
 
-// Package outcome defines what ryehill says when it has no upstream's answer.
+// Package outcome defines the answers that ryehill itself generates when there is
+// no upstream's answer.
 //
-// Every such answer is JSON with a stable code and says, in the field outcome
-// and in the header Ryehill-Outcome, whether the request was run:
+// Every such answer is JSON with a stable code. It states in the field outcome and
+// in the header Ryehill-Outcome whether the request was run:
 //
-//   - not-run: it is certain that no upstream ran it and none will;
+//   - not-run: no upstream ran it and none will;
 //   - unknown: an upstream may have run it.
 //
-// An answer that an upstream gave carries Ryehill-Outcome: ran.
+// An upstream's answer carries Ryehill-Outcome: ran.
 //
 // # Usage
 //
@@ -27,8 +28,8 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Headers of requests and answers. Callers may set the first two only; all
-// others that begin with Prefix are taken off a request.
+// Headers of requests and answers. Callers may set HeaderTicket and HeaderClient
+// only; all other headers that begin with HeaderPrefix are removed from requests.
 const (
 	Prefix         = "Ryehill-"
 	HeaderTicket   = "Ryehill-Ticket"
@@ -38,7 +39,7 @@
 	HeaderHall     = "Ryehill-Hall"
 )
 
-// Run says whether a request was run.
+// Run states whether an upstream ran the request.
 type Run string
 
 // Values of Run.
@@ -48,10 +49,10 @@
 	Unknown Run = "unknown"
 )
 
-// Code is a stable name of a failure.
+// Code is a stable identifier of a failure.
 type Code string
 
-// Codes, each with its HTTP status in the table below.
+// Codes. Each has an HTTP status in the statuses table.
 const (
 	CodeBadRequest      Code = "bad-request"
 	CodeUnauthorized    Code = "unauthorized"
@@ -112,8 +113,8 @@
 	return http.StatusInternalServerError
 }
 
-// Failure is the typed error behind every answer of ryehill's own. Step and
-// peer say where it arose.
+// Failure is the error behind every answer that ryehill itself generates. Step and
+// peer identify where it occurred.
 type Failure struct {
 	code       Code
 	run        Run
@@ -128,26 +129,26 @@
 	return &Failure{code: code, run: run, step: step, peer: peer, cause: cause}
 }
 
-// WithRetryAfter returns the failure with a hint when to come back.
+// WithRetryAfter returns a copy of the failure with a delay after which to retry.
 func (f *Failure) WithRetryAfter(d time.Duration) *Failure {
 	next := *f
 	next.retryAfter = d
 	return &next
 }
 
-// Code returns the stable code.
+// Code returns the failure's code.
 func (f *Failure) Code() Code { return f.code }
 
 // Run returns whether the request was run.
 func (f *Failure) Run() Run { return f.run }
 
-// Step returns the step at which the failure arose.
+// Step returns the step at which the failure occurred.
 func (f *Failure) Step() string { return f.step }
 
-// Peer returns the peer at which it arose, or "".
+// Peer returns the peer at which the failure occurred, or "".
 func (f *Failure) Peer() string { return f.peer }
 
-// RetryAfter returns when to come back, or 0.
+// RetryAfter returns the delay after which to retry, or 0.
 func (f *Failure) RetryAfter() time.Duration { return f.retryAfter }
 
 // Error implements error.
@@ -165,7 +166,8 @@
 // Unwrap returns the cause.
 func (f *Failure) Unwrap() error { return f.cause }
 
-// From returns the failure within an error, or one of an unknown outcome.
+// From returns the Failure in err's chain, or a new one with code CodeBroken and an
+// unknown outcome.
 func From(err error, step string) *Failure {
 	var f *Failure
 	if errors.As(err, &f) {
@@ -197,7 +199,7 @@
 	}
 }
 
-// Write answers a request with a failure.
+// Write responds to a request with a failure.
 func Write(w http.ResponseWriter, f *Failure) {
 	body := f.Body()
 	body.Decision = w.Header().Get(HeaderDecision)
@@ -208,7 +210,7 @@
 	WriteJSON(w, f.code.Status(), body)
 }
 
-// WriteJSON answers with a JSON value.
+// WriteJSON responds with a JSON value.
 func WriteJSON(w http.ResponseWriter, status int, v any) {
 	body, err := json.Marshal(v)
 	if err != nil {
--- a/protocol/wire/pack.go
+++ b/protocol/wire/pack.go
@@ -12,15 +12,15 @@
 	"github.com/cockroachdb/errors"
 )
 
-// maxUnpacked bounds what a packed value may grow to, in bytes, so that a small
-// message cannot fill the receiver's memory.
+// maxUnpacked limits the decompressed size in bytes, so that a small message cannot
+// exhaust the receiver's memory.
 const maxUnpacked = 16 << 20
 
-// ErrPacked reports a packed value that cannot be read.
-var ErrPacked = errors.New("wire: bad packed value")
+// ErrPacked reports a packed value that cannot be decoded.
+var ErrPacked = errors.New("wire: invalid packed value")
 
-// Pack returns a value as compressed JSON (RFC 1951). Configuration shrinks to
-// about an eighth, and it is what takes most of the bytes between VMs.
+// Pack returns a value as JSON compressed with DEFLATE (RFC 1951). Configuration
+// makes up most of the traffic between VMs.
 func Pack(v any) ([]byte, error) {
 	raw, err := json.Marshal(v)
 	if err != nil {
@@ -37,15 +37,15 @@
 	return out.Bytes(), err
 }
 
-// Unpack reads what Pack returned. It returns ErrPacked for anything else, and
-// for more than 16 MiB.
+// Unpack decodes what Pack returned. It returns ErrInvalidPacked for invalid input
+// and for more than 16 MiB of JSON.
 func Unpack(packed []byte, into any) error {
 	raw, err := io.ReadAll(io.LimitReader(flate.NewReader(bytes.NewReader(packed)), maxUnpacked+1))
 	if err != nil {
 		return errors.Wrap(ErrPacked, err.Error())
 	}
 	if len(raw) > maxUnpacked {
-		return errors.Wrapf(ErrPacked, "more than %d bytes", maxUnpacked)
+		return errors.Wrapf(ErrPacked, "more than %d bytes of JSON", maxUnpacked)
 	}
 	if err := json.Unmarshal(raw, into); err != nil {
 		return errors.Wrap(ErrPacked, err.Error())
--- a/protocol/wire/wire.go
+++ b/protocol/wire/wire.go
@@ -3,9 +3,9 @@
 
 // Package wire frames the messages of a peer stream.
 //
-// A frame is a length as a varint and an Envelope of that length. Frames are
-// bounded; a longer one, or one that does not parse, ends the stream with an
-// error and changes nothing else.
+// A frame is an Envelope preceded by its length as a varint. An oversized or
+// malformed frame makes Read return an error, after which the stream cannot be
+// used.
 //
 // # Usage
 //
@@ -28,19 +28,19 @@
 )
 
 const (
-	// Version is the version of the protocol that a Hello names.
+	// Version is the protocol version sent in a Hello.
 	Version = 1
-	// MaxFrame bounds a frame, in bytes. It holds the largest object of the
-	// platform, which is 1 MiB, and its envelope.
+	// MaxFrame limits the size of a frame in bytes. It allows for the platform's
+	// largest object, 1 MiB, and its envelope.
 	MaxFrame = 1<<20 + 64<<10
-	// ChunkSize is how much of a body one frame carries, in bytes.
+	// ChunkSize is the maximum size of the body data in a frame, in bytes.
 	ChunkSize = 32 << 10
 
-	readBuffer = 4 << 10
+	readBufferSize = 4 << 10
 )
 
-// ErrFrame reports a frame that is too long or does not parse.
-var ErrFrame = errors.New("wire: bad frame")
+// ErrFrame reports an oversized or malformed frame.
+var ErrFrame = errors.New("wire: invalid frame")
 
 // Writer writes frames. It is not safe for concurrent use.
 type Writer struct {
@@ -48,15 +48,15 @@
 	buffer []byte
 }
 
-// NewWriter returns a writer to a stream.
+// NewWriter returns a writer of frames to out.
 func NewWriter(out io.Writer) *Writer { return &Writer{out: out} }
 
-// Write writes one frame with a single call to the stream. It returns ErrFrame
-// for a message that is too long, or the stream's error.
+// Write writes one frame with a single call to the stream's Write. It returns
+// ErrInvalidFrame for an oversized message, or the stream's error.
 func (w *Writer) Write(e *peerpb.Envelope) error {
 	size := proto.Size(e)
 	if size > MaxFrame {
-		return errors.Wrapf(ErrFrame, "%d bytes to write, at most %d", size, MaxFrame)
+		return errors.Wrapf(ErrFrame, "message of %d bytes, limit is %d", size, MaxFrame)
 	}
 	w.buffer = protowire.AppendVarint(w.buffer[:0], uint64(size))
 	framed, err := proto.MarshalOptions{UseCachedSize: true}.MarshalAppend(w.buffer, e)
@@ -76,19 +76,19 @@
 	in *bufio.Reader
 }
 
-// NewReader returns a reader from a stream.
-func NewReader(in io.Reader) *Reader { return &Reader{in: bufio.NewReaderSize(in, readBuffer)} }
+// NewReader returns a reader of frames from in.
+func NewReader(in io.Reader) *Reader { return &Reader{in: bufio.NewReaderSize(in, readBufferSize)} }
 
 // Read reads one frame. It returns io.EOF if the stream ended between frames,
-// io.ErrUnexpectedEOF if it ended within one, ErrFrame for a bad frame, or the
-// stream's error.
+// io.ErrUnexpectedEOF if it ended within one, ErrInvalidFrame for an oversized or
+// malformed frame, or the stream's error.
 func (r *Reader) Read() (*peerpb.Envelope, error) {
 	size, err := binary.ReadUvarint(r.in)
 	if err != nil {
 		return nil, err
 	}
 	if size > MaxFrame {
-		return nil, errors.Wrapf(ErrFrame, "%d bytes announced, at most %d", size, MaxFrame)
+		return nil, errors.Wrapf(ErrFrame, "announced length of %d bytes, limit is %d", size, MaxFrame)
 	}
 	body, err := readBody(r.in, int(size))
 	if err != nil {
@@ -99,19 +99,19 @@
 		return nil, errors.Wrap(ErrFrame, err.Error())
 	}
 	if e.Kind == nil {
-		return nil, errors.Wrap(ErrFrame, "message of an unknown kind")
+		return nil, errors.Wrap(ErrFrame, "unknown message kind")
 	}
 	return e, nil
 }
 
-// readBody grows its buffer with what arrives, so that a length alone cannot
-// make the receiver set aside a megabyte.
+// readBody grows its buffer as data arrives, so that a large announced length alone
+// does not allocate memory.
 func readBody(in io.Reader, size int) ([]byte, error) {
-	const first = 64 << 10
-	if size <= first {
+	const maxPreallocated = 64 << 10
+	if size <= maxPreallocated {
 		body := make([]byte, size)
 		_, err := io.ReadFull(in, body)
-		return body, unexpected(err)
+		return body, unexpectedEOF(err)
 	}
 	body, err := io.ReadAll(io.LimitReader(in, int64(size)))
 	if err == nil && len(body) < size {
@@ -120,31 +120,31 @@
 	return body, err
 }
 
-func unexpected(err error) error {
+func unexpectedEOF(err error) error {
 	if errors.Is(err, io.EOF) {
 		return io.ErrUnexpectedEOF
 	}
 	return err
 }
 
-// maxHello bounds a frame that is read without a buffer.
-const maxHello = 4 << 10
+// maxUnbufferedFrame limits the size of a frame read by ReadUnbuffered, in bytes.
+const maxUnbufferedFrame = 4 << 10
 
-// ReadUnbuffered reads one small frame and not a byte beyond it.
+// ReadUnbuffered reads one small frame without reading beyond its end.
 func ReadUnbuffered(in io.Reader) (*peerpb.Envelope, error) {
 	size, err := binary.ReadUvarint(byteReader{in})
 	if err != nil {
 		return nil, err
 	}
-	if size > maxHello {
-		return nil, errors.Wrapf(ErrFrame, "%d bytes announced, at most %d", size, maxHello)
+	if size > maxUnbufferedFrame {
+		return nil, errors.Wrapf(ErrFrame, "announced length of %d bytes, limit is %d", size, maxUnbufferedFrame)
 	}
 	body := make([]byte, size)
 	if _, err := io.ReadFull(in, body); err != nil {
-		return nil, unexpected(err)
+		return nil, unexpectedEOF(err)
 	}
 	e := &peerpb.Envelope{}
-	return e, errors.Wrap(proto.Unmarshal(body, e), "wire: hello")
+	return e, errors.Wrap(proto.Unmarshal(body, e), "wire: decode frame")
 }
 
 type byteReader struct{ in io.Reader }
--- a/protocol/wire/wire_test.go
+++ b/protocol/wire/wire_test.go
@@ -15,7 +15,7 @@
 	"github.com/ryehill/ryehill/protocol/wire"
 )
 
-func TestFramesComeBackWhole(t *testing.T) {
+func TestFramesRoundTrip(t *testing.T) {
 	var out bytes.Buffer
 	w := wire.NewWriter(&out)
 	for _, size := range []int{0, 1, wire.ChunkSize, 1 << 20} {
@@ -31,11 +31,11 @@
 		}
 	}
 	if _, err := r.Read(); !errors.Is(err, io.EOF) {
-		t.Fatalf("got %v at the end", err)
+		t.Fatalf("got %v at the end of the stream, want io.EOF", err)
 	}
 }
 
-func TestTooLongFrameIsRefused(t *testing.T) {
+func TestOversizedFrameIsRejected(t *testing.T) {
 	w := wire.NewWriter(io.Discard)
 	e := &peerpb.Envelope{Kind: &peerpb.Envelope_Chunk{Chunk: &peerpb.Chunk{Data: make([]byte, wire.MaxFrame)}}}
 	if err := w.Write(e); !errors.Is(err, wire.ErrFrame) {
@@ -56,7 +56,7 @@
 				return
 			}
 			if e.GetKind() == nil {
-				t.Fatal("a message of no kind")
+				t.Fatal("Read returned a message without a kind")
 			}
 		}
 	})
--- a/scripts/switch-off.sh
+++ b/scripts/switch-off.sh
@@ -86,8 +86,8 @@
 off split-corrects coordination/placement/split.go 'if ahead[own] > splitSlack {' 'if false && ahead[own] > splitSlack {' ./coordination/placement TestSplit
 off stale-calls-store internal/gateway/watch.go 'case time.Since(g.replica.Confirmed(kind)) >= g.cfg.StaleAfter:' 'case time.Since(g.replica.Confirmed(kind)) >= 100*g.cfg.StaleAfter:' ./internal/gateway TestChangesDoNotRestOnTheWatcher
 off older-config internal/gateway/compile.go 'if c.routes != nil && cfg.Version < c.routes.Version() {' 'if false && cfg.Version < c.routes.Version() {' ./internal/gateway TestWorkersAndHalls
-off replica-list-leaves-a-gap state/object/kind.go 'k.gaps = append(k.gaps, gap{from: k.at, to: to})' '_ = gap{from: k.at, to: to}' ./state/object TestListHidesWhatCameAndWent
-off replica-list-keeps-history state/object/kind.go 'if !k.known {
+off replica-list-leaves-a-gap state/object/kind.go 'k.gaps = append(k.gaps, gap{from: k.revision, to: upTo})' '_ = gap{from: k.revision, to: upTo}' ./state/object TestDeletionBetweenLists
+off replica-list-keeps-history state/object/kind.go 'if !k.initialized {
 		k.history' 'if true {
 		k.history' ./state/object TestDeltas
 off large-parts-follow internal/gateway/teller.go 'g.replica.Changed(), g.copies.freed()' 'g.replica.Changed(), make(chan struct{})' ./internal/gateway TestLargePartsFollow
@@ -113,8 +113,8 @@
 off loads-told-once internal/gateway/loads.go 'after = mark.GetNumber()' '' ./internal/gateway TestLoadsAreToldOnce
 off large-parts-bounded internal/gateway/copies.go 'if c.underWay >= largeAtOnce {' 'if false {' ./internal/gateway TestLargeParts
 off doubt-leads-to-a-list internal/gateway/watch.go 'if !known || list || g.replica.Doubted(kind) {' 'if !known || list {' ./internal/gateway TestDoubtedKindIsRead
-off replica-newer-than-list state/object/kind.go 'if e.Revision <= d.At {' 'if true {' ./state/object TestListThatRanAhead
-off listed-shows-what-is-missing state/object/kind.go 'k.doubted = true' '' ./state/object TestDeltas
+off replica-newer-than-list state/object/kind.go 'if e.Revision <= d.At {' 'if true {' ./state/object TestListWithNewerObjects
+off listed-shows-what-is-missing state/object/kind.go 'k.inconsistent = true' '' ./state/object TestDeltas
 off list-of-one-revision platform/list.go 'rest...), events), at, err' 'rest...), events[:0]), at, err' ./platform TestListOfPages
 off list-in-ranges platform/list.go 'rangeBounds(first.names(), listRanges)' 'rangeBounds(first.names(), 1)' ./platform TestLongLists
 off tree-depth internal/gateway/teller.go 'ask.GetHoldMillis() > 0 && ask.GetDepth() <= 1' 'ask.GetHoldMillis() > 0' ./internal/gateway 'TestDeepTree$'
@@ -124,8 +124,8 @@
 off keys-handed-over coordination/placement/handover.go 'rand.Float64() < max(' 'rand.Float64() < 1+max(' ./coordination/placement TestKeysAreHandedOver
 off gate-of-all-kinds internal/gateway/gate.go 'if g.failures == 0 {' 'if g.failures >= 0 {' ./internal/gateway TestCallsToAStore
 off no-copies-for-a-region state/object/replica.go 'd.Listed, d.Listing = true, k.listing()
-		d.Events = k.changedAfter(revision)' 'd.Full, d.Since = true, 0
-		d.Events = k.changedAfter(0)' ./internal/gateway TestRegionKeepsUp state/object/replica.go 'case k.remembers(revision):' 'case false:'
+		d.Events = k.eventsAfter(revision)' 'd.Full, d.Since = true, 0
+		d.Events = k.eventsAfter(0)' ./internal/gateway TestRegionKeepsUp state/object/replica.go 'case k.historyCovers(revision):' 'case false:'
 off link-pacing coordination/link/link.go 'if limiter == nil {' 'if limiter != nil || limiter == nil {' ./internal/fleet TestLinkLimitHolds
 off surplus-answer transport/upstream/exchange.go 'b.exchange.end(keep && b.exchange.conn.reader.Buffered() == 0)' 'b.exchange.end(keep)' ./transport/upstream TestSurplusAnswer transport/upstream/conn.go 'return !c.spoilt' 'return true'
 off unknown-end transport/upstream/exchange.go 'if lengthless && !x.client' 'if false && !x.client' ./transport/upstream TestBrokenAnswers
@@ -134,7 +134,7 @@
 	h.refuse' 'return
 	}
 	h.refuse' ./internal/program TestSessions/broken
-off attempt-table state/attempt/attempt.go 'if c, ok := s.records[ticket.nonce]; ok {' 'if c, ok := s.records[ticket.nonce]; ok && false {' ./state/attempt 'TestTicketRuns|TestOnlyOne'
+off attempt-table state/attempt/attempt.go 'if c, ok := s.records[ticket.nonce]; ok {' 'if c, ok := s.records[ticket.nonce]; ok && false {' ./state/attempt 'TestTicketRuns|TestConcurrentClaims'
 off start-number state/attempt/attempt.go 'if ticket.start != t.cfg.Start {' 'if false {' ./internal/program TestSessions/once
 off fresh-connection transport/upstream/exchange.go 'c.connect(ctx, w, req.Once)' 'c.connect(ctx, w, false)' ./transport/upstream TestOnceNever
 off no-retry-after-send coordination/retry/retry.go 'case !t.NotRun && !t.Repeatable:' 'case false:' ./internal/program TestSessions/once
@@ -148,9 +148,9 @@
 off plan-edit coordination/intent/apply.go 'if p.Edit != t.Edit {' 'if false {' ./internal/program TestSessions/race
 off write-fence internal/daemon/traffic.go 'written, err := s.platform.Put(ctx, o, condition, operation)' '_ = condition
 	written, err := s.platform.Put(ctx, o, platform.Always(), operation)' ./internal/program TestSessions/race
-off lease coordination/controller/lease.go 'return l.Holder == "" || now.Sub(o.since) >= LeaseTerm' 'return l.Holder == ""' ./internal/program TestSessions/freeze
-off refute coordination/membership/membership.go 't.self.Incarnation = m.Incarnation + 1' '' ./coordination/membership 'TestCutHall|TestFrozen'
-off controller-back coordination/controller/controller.go 'case free < least/2 && m.Share > 0 || s.Usable == 0:' 'case false:' ./coordination/controller TestRules
+off lease coordination/controller/lease.go 'return l.Holder == "" || now.Sub(o.firstSeen) >= LeaseTerm' 'return l.Holder == ""' ./internal/program TestSessions/freeze
+off refute coordination/membership/membership.go 't.self.Incarnation = m.Incarnation + 1' '' ./coordination/membership 'TestPartitionedHall|TestFrozen'
+off controller-back coordination/controller/controller.go 'case free < headroom/2 && m.Share > 0 || s.Usable == 0:' 'case false:' ./coordination/controller TestRules
 off controller-stale coordination/controller/controller.go 'if !ok || source.Age(f.Now) > intent.FreshStatus {' 'if !ok {' ./coordination/controller TestRules
 off quarantine-found internal/gateway/quarantine.go 'if !g.quarantines.table.Hear(e) {' 'if true {' ./internal/gateway 'TestRequestThatEndsWorkers/plain'
 off quarantine-told internal/gateway/quarantine.go 'go g.tellQuarantine([]quarantine.Entry{e}, nil)' '' ./internal/gateway TestAllVMsAreTold
--- a/state/attempt/attempt.go
+++ b/state/attempt/attempt.go
@@ -1,21 +1,20 @@
 // Copyright 2026 The ryehill Authors
 // SPDX-License-Identifier: Apache-2.0
 
-// Package attempt binds a request that may not be repeated to one VM and makes
-// sure that this VM starts it at most once.
+// Package attempt ensures that a request that must not be repeated runs at most
+// once, by binding it to one VM.
 //
-// A ticket names the VM, the number of that VM's start, the time after which it
-// can no longer be used, and a random part. Only the named VM, in the named
-// start, accepts the ticket, and only once: a second use finds the record of
-// the first. A VM that was started anew has an empty table but refuses the old
-// start number, so nothing is run twice. The table forgets a ticket only after
-// its last moment, judged by the same clock that judges the ticket.
+// A ticket consists of the VM's id, the VM's start number, an expiry time and a
+// nonce. Only that VM in that start accepts the ticket, and only once: a second use
+// finds the claim of the first. A restarted VM has an empty table but rejects
+// tickets with an earlier start number. A record is kept at least until its ticket
+// expires, by the same clock that validates tickets.
 //
 // # Usage
 //
 //	table := attempt.New(attempt.Config{VM: "a1", Start: 7, Now: time.Now})
-//	claim, err := table.Claim(ticket)
-//	// run the request, then
+//	claim, first, err := table.Claim(ticket)
+//	// If first, run the request, then:
 //	claim.Finish(attempt.OutcomeRan, answer)
 package attempt
 
@@ -31,29 +30,29 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Refusals of a ticket. None of them started the request.
+// Errors for rejected tickets. The request was not started.
 var (
 	ErrSyntax  = errors.New("attempt: malformed ticket")
 	ErrOtherVM = errors.New("attempt: ticket names another VM")
 	ErrRestart = errors.New("attempt: ticket is from an earlier start of this VM")
 	ErrExpired = errors.New("attempt: ticket has expired")
-	ErrTooLong = errors.New("attempt: ticket lasts longer than the longest term")
+	ErrTooLong = errors.New("attempt: ticket lifetime exceeds the maximum")
 	ErrFull    = errors.New("attempt: table is full")
 )
 
 const (
 	shardCount      = 16
 	defaultCapacity = 65536
-	// MaxTerm is the longest time from issue to the end of a ticket. It
-	// bounds how long the table keeps a record.
+	// MaxTerm is the maximum lifetime of a ticket. It bounds how long the table
+	// keeps a record.
 	MaxTerm = 10 * time.Minute
-	// maxClockSkew is how far the issuing VM's clock may run ahead.
+	// maxClockSkew is how far the clock of the issuing VM may run ahead.
 	maxClockSkew = time.Minute
 	ticketParts  = 4
 	nonceBytes   = 12
 )
 
-// Ticket is the permission to try one request once.
+// Ticket permits one request to run once.
 type Ticket struct {
 	vm      string
 	start   uint64
@@ -61,15 +60,16 @@
 	nonce   string
 }
 
-// NewTicket issues a ticket for a VM, identified by its id and start number.
-// VM ids hold no dots.
+// NewTicket issues a ticket for a VM, identified by its id and start number. VM ids
+// contain no dots.
 func NewTicket(vm string, start uint64, expires time.Time) Ticket {
 	var nonce [nonceBytes]byte
-	_, _ = rand.Read(nonce[:]) // crypto/rand.Read never fails since Go 1.24.
+	_, _ = rand.Read(nonce[:]) // crypto/rand.Read never returns an error.
 	return Ticket{vm: vm, start: start, expires: expires, nonce: hex.EncodeToString(nonce[:])}
 }
 
-// ParseTicket reads the text form. It returns ErrSyntax for anything else.
+// ParseTicket parses the form that String returns. It returns ErrSyntax for any
+// other text.
 func ParseTicket(text string) (Ticket, error) {
 	parts := strings.Split(text, ".")
 	if len(parts) != ticketParts || parts[0] == "" || len(text) > 256 {
@@ -77,39 +77,39 @@
 	}
 	start, err := strconv.ParseUint(parts[1], 36, 64)
 	if err != nil {
-		return Ticket{}, errors.Wrap(ErrSyntax, "start number")
+		return Ticket{}, errors.Wrap(ErrSyntax, "invalid start number")
 	}
 	millis, err := strconv.ParseInt(parts[2], 36, 64)
 	if err != nil {
-		return Ticket{}, errors.Wrap(ErrSyntax, "expiry")
+		return Ticket{}, errors.Wrap(ErrSyntax, "invalid expiry")
 	}
 	if len(parts[3]) != 2*nonceBytes {
-		return Ticket{}, errors.Wrap(ErrSyntax, "nonce")
+		return Ticket{}, errors.Wrap(ErrSyntax, "invalid nonce length")
 	}
 	return Ticket{vm: parts[0], start: start, expires: time.UnixMilli(millis), nonce: parts[3]}, nil
 }
 
-// String returns the text form that ParseTicket reads.
+// String returns the form that ParseTicket accepts.
 func (t Ticket) String() string {
 	return t.vm + "." + strconv.FormatUint(t.start, 36) + "." +
 		strconv.FormatInt(t.expires.UnixMilli(), 36) + "." + t.nonce
 }
 
-// VM returns the id of the only VM that may use the ticket.
+// VM returns the id of the only VM that accepts the ticket.
 func (t Ticket) VM() string { return t.vm }
 
-// Outcome says what became of a claimed request.
+// Outcome is the state of a claimed request.
 type Outcome int
 
 // Outcomes of a claim.
 const (
-	// OutcomePending means that the request is still under way.
+	// OutcomePending means that the request is in progress.
 	OutcomePending Outcome = iota
 	// OutcomeRan means that an upstream answered.
 	OutcomeRan
-	// OutcomeNotRun means that no upstream ran it and none will.
+	// OutcomeNotRun means that no upstream ran the request and none will.
 	OutcomeNotRun
-	// OutcomeUnknown means that an upstream may have run it.
+	// OutcomeUnknown means that an upstream may have run the request.
 	OutcomeUnknown
 )
 
@@ -127,8 +127,8 @@
 	}
 }
 
-// Answer is what a finished attempt returned, kept for repeated questions.
-// Body is nil if the answer was too large to keep.
+// Answer is the response of a finished attempt, kept for repeated queries. Body is
+// nil if the response was too large to keep.
 type Answer struct {
 	Status      int
 	ContentType string
@@ -136,14 +136,14 @@
 	Kept        bool
 }
 
-// Config sets up a Table. VM, Start and Now are required.
+// Config configures a Table. VM, Start and Now are required.
 type Config struct {
 	VM    string
 	Start uint64
-	// Now must never run backwards; time.Now of one process qualifies if the
-	// caller clamps it against steps of the wall clock.
+	// Now must not run backwards. time.Now qualifies if the caller guards against
+	// steps of the wall clock.
 	Now func() time.Time
-	// Capacity bounds the records. Default 65536.
+	// Capacity bounds the number of records. Default 65536.
 	Capacity int
 }
 
@@ -155,12 +155,12 @@
 }
 
 type shard struct {
-	mu      sync.Mutex
-	records map[string]*Claim
-	sweep   time.Time
+	mu        sync.Mutex
+	records   map[string]*Claim
+	nextSweep time.Time
 }
 
-// Claim is the one use of a ticket.
+// Claim records the first use of a ticket.
 type Claim struct {
 	mu      sync.Mutex
 	expires time.Time
@@ -181,9 +181,9 @@
 	return t
 }
 
-// Claim uses a ticket. The bool is true if this call is the first use, and the
-// caller then must call Finish exactly once; otherwise the claim is that of the
-// first use. The errors are those listed above.
+// Claim uses a ticket. If the returned bool is true, this is the first use, and the
+// caller must call Finish exactly once. Otherwise the returned claim is that of the
+// first use. The errors are those declared above, except ErrSyntax.
 func (t *Table) Claim(ticket Ticket) (*Claim, bool, error) {
 	if ticket.vm != t.cfg.VM {
 		return nil, false, ErrOtherVM
@@ -204,7 +204,7 @@
 	if c, ok := s.records[ticket.nonce]; ok {
 		return c, false, nil
 	}
-	s.forget(now)
+	s.removeExpired(now)
 	if len(s.records) >= t.perShard {
 		return nil, false, ErrFull
 	}
@@ -213,7 +213,7 @@
 	return c, true, nil
 }
 
-// Len returns how many records the table holds.
+// Len returns the number of records.
 func (t *Table) Len() int {
 	total := 0
 	for i := range t.shards {
@@ -224,13 +224,13 @@
 	return total
 }
 
-// forget drops records whose ticket can no longer be used, at most once a
-// second. A request still under way is kept however long it takes.
-func (s *shard) forget(now time.Time) {
-	if now.Before(s.sweep) {
+// removeExpired drops finished records whose ticket has expired, at most once a
+// second. Pending records are kept.
+func (s *shard) removeExpired(now time.Time) {
+	if now.Before(s.nextSweep) {
 		return
 	}
-	s.sweep = now.Add(time.Second)
+	s.nextSweep = now.Add(time.Second)
 	for nonce, c := range s.records {
 		if outcome, _ := c.Result(); outcome != OutcomePending && !now.Before(c.expires) {
 			delete(s.records, nonce)
@@ -238,7 +238,7 @@
 	}
 }
 
-// Finish records what became of the request. Only the first call counts.
+// Finish records the outcome of the request. Calls after the first have no effect.
 func (c *Claim) Finish(outcome Outcome, answer Answer) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/state/attempt/attempt_test.go
+++ b/state/attempt/attempt_test.go
@@ -15,7 +15,7 @@
 	"github.com/ryehill/ryehill/state/attempt"
 )
 
-// Whatever the order of uses, restarts and time, a ticket is first used once.
+// A ticket must be claimed first at most once across restarts and expiry.
 func TestTicketRunsAtMostOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		clock := clockwork.NewFakeClock()
@@ -52,13 +52,13 @@
 		}
 		for ticket, n := range runs {
 			if n > 1 {
-				t.Fatalf("ticket %s was used first %d times", ticket, n)
+				t.Fatalf("ticket %s had %d first uses", ticket, n)
 			}
 		}
 	})
 }
 
-func TestOnlyOneOfManyAtOnceIsFirst(t *testing.T) {
+func TestConcurrentClaimsHaveOneFirstUse(t *testing.T) {
 	table := attempt.New(attempt.Config{VM: "a1", Start: 1, Now: time.Now})
 	ticket := attempt.NewTicket("a1", 1, time.Now().Add(time.Minute))
 	var wg sync.WaitGroup
@@ -78,7 +78,7 @@
 		}
 	}
 	if n != 1 {
-		t.Fatalf("%d were first", n)
+		t.Fatalf("%d claims were first uses, want 1", n)
 	}
 }
 
--- a/state/object/fault.go
+++ b/state/object/fault.go
@@ -5,12 +5,13 @@
 
 import "github.com/cockroachdb/errors"
 
-// Reason says why an object is not used, as counted in metrics.
+// Reason classifies why an object is not used. It is a metric label.
 type Reason string
 
-// Reasons.
+// Reasons for not using an object.
 const (
-	// ReasonUnreadable is for content that is no JSON, or has fields of other types.
+	// ReasonUnreadable is for content that is not JSON or has fields of the wrong
+	// type.
 	ReasonUnreadable Reason = "unreadable"
 	ReasonMissing    Reason = "field-missing"
 	ReasonState      Reason = "state"
@@ -20,18 +21,18 @@
 	ReasonHall       Reason = "hall"
 )
 
-// Fault is why an object is not used. All others hold beside it.
+// Fault reports an object that is not used. Other objects are unaffected.
 type Fault struct {
 	reason Reason
 	cause  error
 }
 
-// NewFault returns a fault with a text for operators.
+// NewFault returns an error with a reason and a message for operators.
 func NewFault(reason Reason, format string, args ...any) error {
 	return &Fault{reason: reason, cause: errors.Newf(format, args...)}
 }
 
-// Reason returns why the object is not used.
+// Reason returns the class of the error.
 func (f *Fault) Reason() Reason { return f.reason }
 
 // Error implements error.
@@ -40,7 +41,8 @@
 // Unwrap returns the cause.
 func (f *Fault) Unwrap() error { return f.cause }
 
-// ReasonOf returns the reason of a fault, ReasonUnreadable for any other error.
+// ReasonOf returns the reason of an InvalidError in err's chain, or
+// ReasonUnreadable for any other error.
 func ReasonOf(err error) Reason {
 	var f *Fault
 	if errors.As(err, &f) {
--- a/state/object/kind.go
+++ b/state/object/kind.go
@@ -10,223 +10,225 @@
 )
 
 const (
-	// historyLength bounds the changes that are kept of each kind.
+	// historyLength is the number of changes that trimming leaves for each kind.
 	historyLength = 1024
-	// maxGaps bounds the gaps that are remembered in one history.
+	// maxGaps bounds the gaps recorded for one history.
 	maxGaps = 32
 )
 
-// kind is the replica of one kind.
-type kind struct {
-	mu        sync.Mutex
-	known     bool
-	doubted   bool
-	at        uint64
-	content   uint64 // the revision at which anything last changed
-	confirmed time.Time
-	// changedFrom is the earliest confirmed at a change that was not taken yet, and
-	// fresh is set if there is one.
-	changedFrom time.Time
-	fresh       bool
-	objects     map[string]Object
-	// names are those of the objects, in order.
+// kindReplica holds the objects of one kind.
+type kindReplica struct {
+	mu           sync.Mutex
+	initialized  bool
+	inconsistent bool
+	revision     uint64
+	lastChanged  uint64 // revision of the last change
+	confirmedAt  time.Time
+	// earliestChange is a lower bound on the time of the pending changes, those
+	// that TakeEarliestChange has not returned yet. It is valid if changePending is
+	// set.
+	earliestChange time.Time
+	changePending  bool
+	objects        map[string]Object
+	// names are the object names in ascending order.
 	names []string
-	// history holds changes in the order in which they were heard; it is
-	// complete from revision oldest on, but for the gaps.
+	// history holds changes in the order of arrival. It is complete from revision
+	// oldest on, except for the gaps.
 	history []change
 	oldest  uint64
 	gaps    []gap
 }
 
-// change is an event in the history. Whoever is complete up to a revision below
-// news may lack it: the one up to which it was told together with others, whose
-// order it keeps.
+// change is an event in the history. A peer whose revision is below deliveredAt may
+// lack it: deliveredAt is the revision up to which the delta with this event was
+// complete.
 type change struct {
 	Event
-	news uint64
+	deliveredAt uint64
 }
 
-// gap is a span of revisions that a list has passed over. An object that was made
-// and removed again within it left no trace, so the history does not do for a
-// peer that is complete up to a revision strictly within it.
+// gap is a range of revisions skipped by a list. An object that was created and
+// deleted within it left no event, so the history is incomplete for a peer whose
+// revision is strictly inside.
 type gap struct {
 	from, to uint64
 }
 
-// merge takes in a delta and reports whether any object has changed.
-func (k *kind) merge(d Delta) bool {
+// merge applies a delta and reports whether any object changed.
+func (k *kindReplica) merge(d Delta) bool {
 	switch {
 	case d.Full:
 		return k.replace(d, namesOf(d.Events))
-	case !k.known || d.Since > k.at:
-		return false // Changes between are missing: this one does not help.
-	case d.At <= k.at:
+	case !k.initialized || d.Since > k.revision:
+		return false // The changes in between are missing.
+	case d.At <= k.revision:
 		return false
 	case d.Listed:
-		return k.mergeListed(d)
+		return k.mergeListing(d)
 	}
 	changed := false
 	for _, e := range d.Events {
 		if e.Gone {
-			// The store tells the revision of the last change before the
-			// end; a peer that is behind must see the end as news.
+			// The store reports the revision of the last change before the
+			// deletion. Raise it, so that peers that are behind see the deletion.
 			e.Revision = max(e.Revision, d.At)
 		}
-		changed = k.take(e, d.At) || changed
+		changed = k.applyEvent(e, d.At) || changed
 	}
-	k.at = d.At
+	k.revision = d.At
 	return changed
 }
 
-// mergeListed takes in a delta with the names of all objects. If one of them is
-// neither held nor told, this replica is not complete up to its own revision, and
-// takes in nothing of the delta.
-func (k *kind) mergeListed(d Delta) bool {
-	told := namesOf(d.Events)
+// mergeListing applies a delta that names all objects. If a named object is neither
+// held in that state nor included, the replica is marked inconsistent and the delta
+// is not applied.
+func (k *kindReplica) mergeListing(d Delta) bool {
+	included := namesOf(d.Events)
 	names := make(map[string]bool, len(d.Listing))
 	for _, ref := range d.Listing {
 		names[ref.Name] = true
-		held, ok := k.objects[ref.Name]
-		if !told[ref.Name] && (!ok || held.Revision < ref.Revision) {
-			k.doubted = true
+		current, ok := k.objects[ref.Name]
+		if !included[ref.Name] && (!ok || current.Revision < ref.Revision) {
+			k.inconsistent = true
 			return false
 		}
 	}
 	return k.replace(d, names)
 }
 
-// noteChange remembers from when on a change may have come that was not taken yet.
-func (k *kind) noteChange() {
-	if from := k.confirmed; !k.fresh || from.Before(k.changedFrom) {
-		k.fresh, k.changedFrom = true, from
+// markChanged extends the lower bound on the time of the pending changes.
+func (k *kindReplica) markChanged() {
+	if from := k.confirmedAt; !k.changePending || from.Before(k.earliestChange) {
+		k.changePending, k.earliestChange = true, from
 	}
 }
 
-// replace takes in the state of all objects at a revision: the events, and of
-// what was held before only the named ones.
+// replace applies the state of all objects at a revision: the events, and from the
+// held objects only the named ones.
 //
-// An object that is newer than the revision is left to the watch from there on.
-// Taken now, it would be no news then, and peers would never be told.
-func (k *kind) replace(d Delta, names map[string]bool) bool {
-	if k.known && d.At < k.at {
+// An object newer than the revision is left to the subsequent watch. If it were
+// applied now, the watch event would not count as a change and peers would never
+// receive it.
+func (k *kindReplica) replace(d Delta, names map[string]bool) bool {
+	if k.initialized && d.At < k.revision {
 		return false
 	}
-	changed := !k.known
+	changed := !k.initialized
 	for _, e := range d.Events {
 		if e.Revision <= d.At {
-			changed = k.take(e, d.At) || changed
+			changed = k.applyEvent(e, d.At) || changed
 		}
 	}
 	for name := range k.objects {
 		if !names[name] {
-			changed = k.take(Event{Object: Object{Name: name, Revision: d.At}, Gone: true}, d.At) || changed
+			changed = k.applyEvent(Event{Object: Object{Name: name, Revision: d.At}, Gone: true}, d.At) || changed
 		}
 	}
 	if changed {
-		k.content = d.At
+		k.lastChanged = d.At
 	}
-	k.passOver(d.At)
-	k.known, k.doubted, k.at = true, false, d.At
+	k.recordGap(d.At)
+	k.initialized, k.inconsistent, k.revision = true, false, d.At
 	return changed
 }
 
-// passOver notes that a list has passed over the changes up to a revision.
-func (k *kind) passOver(to uint64) {
-	if !k.known {
-		k.history, k.oldest, k.gaps = nil, to, nil
+// recordGap records that a list skipped the changes up to a revision.
+func (k *kindReplica) recordGap(upTo uint64) {
+	if !k.initialized {
+		k.history, k.oldest, k.gaps = nil, upTo, nil
 		return
 	}
-	if to > k.at {
-		k.gaps = append(k.gaps, gap{from: k.at, to: to})
+	if upTo > k.revision {
+		k.gaps = append(k.gaps, gap{from: k.revision, to: upTo})
 	}
 	if len(k.gaps) > maxGaps {
 		k.oldest = max(k.oldest, k.gaps[0].to)
 	}
-	k.forgetGaps()
+	k.trimGaps()
 }
 
-// take takes in one change, told together with all others up to revision at,
-// unless it is older than what is held.
-func (k *kind) take(e Event, at uint64) bool {
-	held, ok := k.objects[e.Name]
+// applyEvent applies an event of a delta that is complete up to revision upTo,
+// unless the event is older than the held object.
+func (k *kindReplica) applyEvent(e Event, upTo uint64) bool {
+	current, ok := k.objects[e.Name]
 	switch {
-	case ok && (e.Revision < held.Revision || !e.Gone && same(held, e.Object)):
+	case ok && (e.Revision < current.Revision || !e.Gone && equalObjects(current, e.Object)):
 		return false
 	case e.Gone && !ok:
 		return false
 	case e.Gone:
 		delete(k.objects, e.Name)
-		if at, found := slices.BinarySearch(k.names, e.Name); found {
-			k.names = slices.Delete(k.names, at, at+1)
+		if i, found := slices.BinarySearch(k.names, e.Name); found {
+			k.names = slices.Delete(k.names, i, i+1)
 		}
 		e.Spec = nil
 	default:
 		if !ok {
-			at, _ := slices.BinarySearch(k.names, e.Name)
-			k.names = slices.Insert(k.names, at, e.Name)
+			i, _ := slices.BinarySearch(k.names, e.Name)
+			k.names = slices.Insert(k.names, i, e.Name)
 		}
 		k.objects[e.Name] = e.Object
 	}
-	k.record(e, at)
+	k.appendHistory(e, upTo)
 	return true
 }
 
-// record adds a change to the history.
-func (k *kind) record(e Event, at uint64) {
-	k.content = max(k.content, at)
-	k.history = append(k.history, change{Event: e, news: at})
+// appendHistory adds an event to the history.
+func (k *kindReplica) appendHistory(e Event, upTo uint64) {
+	k.lastChanged = max(k.lastChanged, upTo)
+	k.history = append(k.history, change{Event: e, deliveredAt: upTo})
 	if len(k.history) > 2*historyLength {
-		k.forget()
+		k.trimHistory()
 	}
 }
 
-// forget drops the older half of the history.
-func (k *kind) forget() {
+// trimHistory drops the older half of the history.
+func (k *kindReplica) trimHistory() {
 	for _, c := range k.history[:historyLength] {
-		k.oldest = max(k.oldest, c.news)
+		k.oldest = max(k.oldest, c.deliveredAt)
 	}
 	k.history = slices.Clone(k.history[historyLength:])
-	k.forgetGaps()
+	k.trimGaps()
 }
 
-// forgetGaps drops the gaps before the oldest revision of the history.
-func (k *kind) forgetGaps() {
+// trimGaps drops the gaps before the oldest revision of the history.
+func (k *kindReplica) trimGaps() {
 	k.gaps = slices.DeleteFunc(k.gaps, func(g gap) bool { return g.to <= k.oldest })
 }
 
-// remembers reports whether the history has all that a peer lacks that is
-// complete up to a revision.
-func (k *kind) remembers(revision uint64) bool {
+// historyCovers reports whether the history holds every change that a peer at a
+// revision lacks.
+func (k *kindReplica) historyCovers(revision uint64) bool {
 	inGap := func(g gap) bool { return g.from < revision && revision < g.to }
 	return revision >= k.oldest && !slices.ContainsFunc(k.gaps, inGap)
 }
 
-// historyAfter returns the changes that are news after a revision.
-func (k *kind) historyAfter(revision uint64) []Event {
+// historyAfter returns the events that a peer at a revision may lack.
+func (k *kindReplica) historyAfter(revision uint64) []Event {
 	var events []Event
 	for _, c := range k.history {
-		if c.news > revision {
+		if c.deliveredAt > revision {
 			events = append(events, c.Event)
 		}
 	}
 	return events
 }
 
-// changedAfter returns the objects that have changed after a revision, or whose
-// last change is news after it.
-func (k *kind) changedAfter(revision uint64) []Event {
-	news := namesOf(k.historyAfter(revision))
+// eventsAfter returns the objects that changed after a revision or whose last
+// change was delivered after it.
+func (k *kindReplica) eventsAfter(revision uint64) []Event {
+	changedNames := namesOf(k.historyAfter(revision))
 	var events []Event
 	for name, o := range k.objects {
-		if revision == 0 || o.Revision > revision || news[name] {
+		if revision == 0 || o.Revision > revision || changedNames[name] {
 			events = append(events, Event{Object: o})
 		}
 	}
 	return events
 }
 
-// listing names all objects.
-func (k *kind) listing() []Ref {
+// listing returns the names and revisions of all objects.
+func (k *kindReplica) listing() []Ref {
 	refs := make([]Ref, 0, len(k.objects))
 	for name, o := range k.objects {
 		refs = append(refs, Ref{Name: name, Revision: o.Revision})
--- a/state/object/replica.go
+++ b/state/object/replica.go
@@ -8,25 +8,25 @@
 	"time"
 )
 
-// Replica holds objects by kind. It is safe for concurrent use; each kind is
-// under a lock of its own.
+// Replica holds objects by kind. It is safe for concurrent use; each kind has its
+// own lock.
 type Replica struct {
 	mu      sync.Mutex
-	kinds   map[string]*kind
+	kinds   map[string]*kindReplica
 	changed chan struct{}
 }
 
-// NewReplica returns a replica that knows nothing.
+// NewReplica returns an empty replica.
 func NewReplica() *Replica {
-	return &Replica{kinds: make(map[string]*kind), changed: make(chan struct{})}
+	return &Replica{kinds: make(map[string]*kindReplica), changed: make(chan struct{})}
 }
 
-func (r *Replica) kind(name string) *kind {
+func (r *Replica) kind(name string) *kindReplica {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	k, ok := r.kinds[name]
 	if !ok {
-		k = &kind{objects: make(map[string]Object)}
+		k = &kindReplica{objects: make(map[string]Object)}
 		r.kinds[name] = k
 	}
 	return k
@@ -46,8 +46,8 @@
 	r.changed = make(chan struct{})
 }
 
-// Reset takes in all objects of a kind as they were at a revision. One that is
-// older than what is held is ignored.
+// Reset replaces all objects of a kind with their state at a revision. A state
+// older than the replica's is ignored.
 func (r *Replica) Reset(name string, objects []Object, at uint64) {
 	events := make([]Event, 0, len(objects))
 	for _, o := range objects {
@@ -56,19 +56,19 @@
 	r.Merge(Delta{Kind: name, Full: true, At: at, Events: events})
 }
 
-// Apply takes in the changes of a kind after revision since, up to and with
+// Apply applies the changes of a kind after revision since, up to and including
 // revision at.
 func (r *Replica) Apply(name string, since uint64, events []Event, at uint64) {
 	r.Merge(Delta{Kind: name, Since: since, At: at, Events: events})
 }
 
-// Merge takes in a delta. It reports whether any object has changed.
+// Merge applies a delta and reports whether any object changed.
 func (r *Replica) Merge(d Delta) bool {
 	k := r.kind(d.Kind)
 	k.mu.Lock()
 	changed := k.merge(d)
 	if changed {
-		k.noteChange()
+		k.markChanged()
 	}
 	k.mu.Unlock()
 	if changed {
@@ -77,26 +77,26 @@
 	return changed
 }
 
-// At returns the revision up to which a kind is complete, and whether it is
-// known at all.
+// At returns the revision up to which a kind is complete, and whether the replica
+// has received the kind.
 func (r *Replica) At(name string) (uint64, bool) {
 	k := r.kind(name)
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	return k.at, k.known
+	return k.revision, k.initialized
 }
 
-// Content returns the revision at which an object of a kind last changed, as
-// far as this replica knows. A replica that is complete up to it lacks nothing
-// that this one has.
+// Content returns the revision of the last change to an object of a kind that this
+// replica knows of. A replica that is complete up to it has everything that this
+// one has.
 func (r *Replica) Content(name string) uint64 {
 	k := r.kind(name)
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	return k.content
+	return k.lastChanged
 }
 
-// Objects returns all objects of a kind, in order of their names.
+// Objects returns all objects of a kind, ordered by name.
 func (r *Replica) Objects(name string) []Object {
 	k := r.kind(name)
 	k.mu.Lock()
@@ -108,65 +108,65 @@
 	return objects
 }
 
-// Since returns what a peer lacks that is complete up to a revision, as little as
-// will do. It returns false if the peer lacks nothing or this replica knows
-// nothing.
+// Since returns the smallest delta for a peer that is complete up to a revision, or
+// that has no state if known is false. It returns false if the peer lacks nothing
+// or this replica has no state.
 func (r *Replica) Since(name string, revision uint64, known bool) (Delta, bool) {
 	k := r.kind(name)
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	if !k.known || known && revision >= k.at {
+	if !k.initialized || known && revision >= k.revision {
 		return Delta{}, false
 	}
-	d := Delta{Kind: name, Since: revision, At: k.at}
+	d := Delta{Kind: name, Since: revision, At: k.revision}
 	switch {
 	case !known:
 		d.Full, d.Since = true, 0
-		d.Events = k.changedAfter(0)
-	case k.remembers(revision):
+		d.Events = k.eventsAfter(0)
+	case k.historyCovers(revision):
 		d.Events = k.historyAfter(revision)
 	default:
 		d.Listed, d.Listing = true, k.listing()
-		d.Events = k.changedAfter(revision)
+		d.Events = k.eventsAfter(revision)
 	}
 	return d, true
 }
 
-// Doubted reports whether a peer has shown that this replica of a kind is not
-// what it takes itself to be. Only a list or a full delta ends that.
+// Doubted reports whether a peer's listing has shown that this replica lacks
+// objects of a kind. Only a list or a full delta clears this.
 func (r *Replica) Doubted(name string) bool {
 	k := r.kind(name)
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	return k.doubted
+	return k.inconsistent
 }
 
-// TakeChangedFrom returns the moment up to which the store is known to have said
-// that a kind was as it was before the changes since the last call. The changes came
-// after it. It is the zero time if there were none, or if nothing is known.
+// TakeChangedFrom returns a lower bound on the time of the changes since the last
+// call: the store had confirmed the kind at that time before the earliest of them
+// arrived. It returns the zero time if there were no changes or no confirmation.
 func (r *Replica) TakeChangedFrom(name string) time.Time {
 	k := r.kind(name)
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	from := k.changedFrom
-	k.changedFrom, k.fresh = time.Time{}, false
+	from := k.earliestChange
+	k.earliestChange, k.changePending = time.Time{}, false
 	return from
 }
 
-// Confirm notes that the store said at a moment that a kind was complete.
-func (r *Replica) Confirm(name string, when time.Time) {
+// Confirm records that the store reported a kind as complete at a time.
+func (r *Replica) Confirm(name string, at time.Time) {
 	k := r.kind(name)
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	if when.After(k.confirmed) {
-		k.confirmed = when
+	if at.After(k.confirmedAt) {
+		k.confirmedAt = at
 	}
 }
 
-// Confirmed returns when the store last said that a kind was complete.
+// Confirmed returns when the store last reported a kind as complete.
 func (r *Replica) Confirmed(name string) time.Time {
 	k := r.kind(name)
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	return k.confirmed
+	return k.confirmedAt
 }
--- a/state/object/replica_test.go
+++ b/state/object/replica_test.go
@@ -15,7 +15,7 @@
 
 const kind = "things"
 
-// store is the truth that replicas follow: every change has a revision.
+// store is the reference that replicas follow. Every change has a revision.
 type store struct {
 	revision uint64
 	objects  map[string]object.Object
@@ -29,8 +29,8 @@
 	s.log = append(s.log, object.Event{Object: o})
 }
 
-// remove tells, as the platform's store does, the revision of the object's last
-// change rather than that of its end.
+// remove logs the revision of the object's last change, as the platform's store
+// does, not that of the deletion.
 func (s *store) remove(name string) {
 	o, ok := s.objects[name]
 	if !ok {
@@ -49,9 +49,9 @@
 	return list
 }
 
-// pages returns a list whose first page, of the names up to "a", was read before
-// the second one.
-func pages(first, second []object.Object) []object.Object {
+// listInPages returns a list whose first page, with the names up to "a", is older
+// than the second.
+func listInPages(first, second []object.Object) []object.Object {
 	var list []object.Object
 	for _, o := range first {
 		if o.Name <= "a" {
@@ -66,21 +66,21 @@
 	return list
 }
 
-func holds(r *object.Replica, s *store) string {
+func difference(r *object.Replica, s *store) string {
 	held := r.Objects(kind)
 	if len(held) != len(s.objects) {
 		return fmt.Sprintf("%d objects held, %d in the store", len(held), len(s.objects))
 	}
 	for _, o := range held {
 		if s.objects[o.Name].Revision != o.Revision {
-			return "another revision of " + o.Name
+			return "different revision of " + o.Name
 		}
 	}
 	return ""
 }
 
-// catchUp tells a replica what it still lacks, and returns in what it then
-// differs from the store.
+// catchUp applies the changes that a replica lacks and describes any difference
+// from the store.
 func catchUp(r *object.Replica, s *store) string {
 	at, known := r.At(kind)
 	if !known {
@@ -89,17 +89,16 @@
 	if at < s.revision {
 		r.Apply(kind, at, s.log[at:], s.revision)
 	}
-	return holds(r, s)
+	return difference(r, s)
 }
 
-// Whatever replicas hear from the store and from each other, in whatever order,
-// one that is complete up to the store's revision holds just what the store does.
+// Replicas must converge on the store's state whatever the order of deltas.
 func TestReplicasConverge(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := &store{objects: make(map[string]object.Object)}
 		replicas := []*object.Replica{object.NewReplica(), object.NewReplica(), object.NewReplica()}
 		name := rapid.SampledFrom([]string{"a", "b", "c"})
-		var late []object.Delta
+		var earlierDeltas []object.Delta
 		for range rapid.IntRange(1, 120).Draw(t, "steps") {
 			i := rapid.IntRange(0, 2).Draw(t, "replica")
 			r := replicas[i]
@@ -115,7 +114,7 @@
 				first, at := s.list(), s.revision
 				s.put(name.Draw(t, "name"))
 				s.remove(name.Draw(t, "name"))
-				r.Reset(kind, object.Changed(pages(first, s.list()), s.log[at:]), s.revision)
+				r.Reset(kind, object.Changed(listInPages(first, s.list()), s.log[at:]), s.revision)
 			case 4:
 				if known && at < uint64(len(s.log)) {
 					to := at + uint64(rapid.IntRange(1, len(s.log)-int(at)).Draw(t, "to"))
@@ -123,21 +122,21 @@
 				}
 			case 5:
 				if d, ok := replicas[(i+1)%3].Since(kind, at, known); ok {
-					late = append(late, d)
+					earlierDeltas = append(earlierDeltas, d)
 					r.Merge(d)
 				}
 			default:
-				if len(late) > 0 {
-					r.Merge(late[rapid.IntRange(0, len(late)-1).Draw(t, "late")])
+				if len(earlierDeltas) > 0 {
+					r.Merge(earlierDeltas[rapid.IntRange(0, len(earlierDeltas)-1).Draw(t, "late")])
 				}
 			}
 			if after, _ := r.At(kind); after < at {
-				t.Fatalf("a replica went back from %d to %d", at, after)
+				t.Fatalf("replica revision decreased from %d to %d", at, after)
 			}
 		}
 		for i, r := range replicas {
 			if r.Doubted(kind) {
-				t.Fatalf("replica %d lacks something", i)
+				t.Fatalf("replica %d is inconsistent", i)
 			}
 			if fault := catchUp(r, s); fault != "" {
 				t.Fatalf("replica %d: %s", i, fault)
@@ -146,11 +145,9 @@
 	})
 }
 
-// A watch may miss a change and yet say that it is complete beyond it, when the
-// store drops its history just then. The list that follows shows the change, and
-// peers that believed the same must hear of it, though its revision is older than
-// what they take themselves to be complete up to.
-func TestPeersHearOfWhatAWatchMissed(t *testing.T) {
+// A peer must receive a change that its revision claims to include but the watch
+// dropped.
+func TestPeersGetChangesThatWatchMissed(t *testing.T) {
 	for name, missed := range map[string]object.Object{
 		"a change":     {Name: "a", Revision: 99, Spec: []byte("leaving")},
 		"a new object": {Name: "b", Revision: 99, Spec: []byte("closed")},
@@ -160,7 +157,7 @@
 			watcher, peer := object.NewReplica(), object.NewReplica()
 			for _, r := range []*object.Replica{watcher, peer} {
 				r.Reset(kind, []object.Object{old}, 90)
-				r.Apply(kind, 90, nil, 100) // The change at 99 was not told.
+				r.Apply(kind, 90, nil, 100) // The watch dropped the change at 99.
 			}
 			list := []object.Object{missed}
 			if missed.Name != old.Name {
@@ -170,7 +167,7 @@
 			at, known := peer.At(kind)
 			d, ok := watcher.Since(kind, at, known)
 			if !ok || !peer.Merge(d) {
-				t.Fatalf("the peer heard nothing: %+v", d)
+				t.Fatalf("the delta changed nothing at the peer: %+v", d)
 			}
 			for _, o := range peer.Objects(kind) {
 				if o.Name == missed.Name && o.Revision == missed.Revision {
@@ -182,9 +179,8 @@
 	}
 }
 
-// An object that was made and removed again between two lists is in neither. A
-// peer that heard of it must be told that it is gone.
-func TestListHidesWhatCameAndWent(t *testing.T) {
+// A peer must learn of the deletion of an object that no list contained.
+func TestDeletionBetweenLists(t *testing.T) {
 	watcher, peer := object.NewReplica(), object.NewReplica()
 	watcher.Reset(kind, nil, 90)
 	peer.Reset(kind, []object.Object{{Name: "a", Revision: 99}}, 100)
@@ -198,10 +194,9 @@
 	}
 }
 
-// A list that is read in pages may hold objects that are newer than the revision
-// up to which it is complete. The watch that follows brings them again, and they
-// are news to a peer then, though not to the replica that has the list.
-func TestListThatRanAhead(t *testing.T) {
+// A paged list may hold objects newer than its revision, which peers must still
+// receive from the watch.
+func TestListWithNewerObjects(t *testing.T) {
 	old, newer := object.Object{Name: "a", Revision: 8}, object.Object{Name: "a", Revision: 12}
 	watcher, peer := object.NewReplica(), object.NewReplica()
 	peer.Reset(kind, []object.Object{old}, 10)
@@ -209,21 +204,21 @@
 	watcher.Apply(kind, 10, []object.Event{{Object: newer}}, 12)
 	d, ok := watcher.Since(kind, 10, true)
 	if !ok || !peer.Merge(d) {
-		t.Fatalf("the peer heard nothing new: %+v", d)
+		t.Fatalf("the delta changed nothing at the peer: %+v", d)
 	}
 	if held := peer.Objects(kind); held[0].Revision != newer.Revision {
-		t.Errorf("the peer is complete up to 12 and holds %+v", held)
+		t.Errorf("the peer is at revision 12 and holds %+v", held)
 	}
 }
 
 func TestDeltas(t *testing.T) {
-	Convey("A replica that knows nothing", t, func() {
+	Convey("An empty replica", t, func() {
 		r := object.NewReplica()
-		Convey("has nothing to tell", func() {
+		Convey("has no delta", func() {
 			_, ok := r.Since(kind, 0, false)
 			So(ok, ShouldBeFalse)
 		})
-		Convey("takes no changes, since it lacks what was before", func() {
+		Convey("ignores changes without the preceding state", func() {
 			r.Apply(kind, 3, []object.Event{{Object: object.Object{Name: "a", Revision: 4}}}, 4)
 			So(r.Objects(kind), ShouldBeEmpty)
 		})
@@ -231,7 +226,7 @@
 	Convey("A replica at revision 5", t, func() {
 		r := object.NewReplica()
 		r.Reset(kind, []object.Object{{Name: "a", Revision: 2}, {Name: "b", Revision: 5}}, 5)
-		Convey("tells one that is behind of the end of an object", func() {
+		Convey("sends a deletion to a peer that is behind", func() {
 			r.Apply(kind, 5, []object.Event{{Object: object.Object{Name: "a", Revision: 2}, Gone: true}}, 6)
 			d, ok := r.Since(kind, 5, true)
 			So(ok, ShouldBeTrue)
@@ -239,12 +234,12 @@
 			So(d.Events, ShouldHaveLength, 1)
 			So(d.Events[0].Gone, ShouldBeTrue)
 		})
-		Convey("tells one that knows nothing everything", func() {
+		Convey("sends a full delta to an empty peer", func() {
 			d, _ := r.Since(kind, 0, false)
 			So(d.Full, ShouldBeTrue)
 			So(d.Events, ShouldHaveLength, 2)
 		})
-		Convey("tells one that is too far behind all names, and what has changed since", func() {
+		Convey("sends a listing and the changed objects to a peer before its history", func() {
 			d, _ := r.Since(kind, 3, true)
 			So(d.Full, ShouldBeFalse)
 			So(d.Listed, ShouldBeTrue)
@@ -259,29 +254,29 @@
 				at, _ := peer.At(kind)
 				So(at, ShouldEqual, 5)
 			})
-			Convey("which shows another one that it lacks something", func() {
+			Convey("which marks a peer that lacks an object as inconsistent", func() {
 				peer := object.NewReplica()
 				peer.Reset(kind, []object.Object{{Name: "c", Revision: 3}}, 3)
 				So(peer.Merge(d), ShouldBeFalse)
 				So(peer.Doubted(kind), ShouldBeTrue)
-				Convey("until it is told everything", func() {
+				Convey("until it gets a full delta", func() {
 					all, _ := r.Since(kind, 0, false)
 					So(peer.Merge(all), ShouldBeTrue)
 					So(peer.Doubted(kind), ShouldBeFalse)
 				})
 			})
 		})
-		Convey("tells one that was as far as it was itself just what a list has changed", func() {
+		Convey("sends the changes of a list to a peer at its previous revision", func() {
 			r.Reset(kind, []object.Object{{Name: "b", Revision: 5}, {Name: "c", Revision: 8}}, 9)
 			d, _ := r.Since(kind, 5, true)
 			So(d.Full || d.Listed, ShouldBeFalse)
-			So(d.Events, ShouldHaveLength, 2) // The end of a, and c.
+			So(d.Events, ShouldHaveLength, 2) // The deletion of a, and c.
 		})
 		Convey("ignores an older list", func() {
 			r.Reset(kind, nil, 4)
 			So(r.Objects(kind), ShouldHaveLength, 2)
 		})
-		Convey("takes what a newer list lacks as gone", func() {
+		Convey("deletes objects that a newer list lacks", func() {
 			r.Reset(kind, []object.Object{{Name: "b", Revision: 5}}, 7)
 			So(r.Objects(kind), ShouldHaveLength, 1)
 		})
--- a/state/spec/faults.go
+++ b/state/spec/faults.go
@@ -10,31 +10,31 @@
 	"github.com/cockroachdb/errors"
 )
 
-// faults collects everything wrong with one object.
-type faults struct {
+// violations collects the validation errors of one object.
+type violations struct {
 	list []string
 }
 
-func (f *faults) add(field, format string, args ...any) {
-	const most = 20
-	if len(f.list) < most {
+func (f *violations) addf(field, format string, args ...any) {
+	const maxListed = 20
+	if len(f.list) < maxListed {
 		f.list = append(f.list, field+": "+fmt.Sprintf(format, args...))
 	}
 }
 
-func (f *faults) name(field, name string) {
+func (f *violations) checkName(field, name string) {
 	if !ValidName(name) {
-		f.add(field, "%q: want 1 to 63 lower-case letters, digits and hyphens", name)
+		f.addf(field, "%q: want 1 to 63 lower-case letters, digits and hyphens", name)
 	}
 }
 
-func (f *faults) within(field string, value, least, most int64) {
-	if value < least || value > most {
-		f.add(field, "%d: allowed are %d to %d", value, least, most)
+func (f *violations) checkRange(field string, value, lowest, highest int64) {
+	if value < lowest || value > highest {
+		f.addf(field, "%d: allowed are %d to %d", value, lowest, highest)
 	}
 }
 
-func (f *faults) err() error {
+func (f *violations) err() error {
 	if len(f.list) == 0 {
 		return nil
 	}
--- a/state/spec/kinds.go
+++ b/state/spec/kinds.go
@@ -11,7 +11,7 @@
 	"github.com/ryehill/ryehill/state/share"
 )
 
-// Bounds of the lists in one object.
+// Upper bounds on the lists and values of one object.
 const (
 	MaxHalls    = 256
 	MaxLinks    = 4096
@@ -36,7 +36,7 @@
 	return err
 }
 
-// Or returns the duration, or the fallback if it is zero.
+// Or returns the duration, or the fallback if the duration is zero.
 func (d Duration) Or(fallback time.Duration) time.Duration {
 	if d == 0 {
 		return fallback
@@ -48,12 +48,12 @@
 type Fleet struct {
 	Halls []Hall `json:"halls"`
 	Links []Link `json:"links,omitempty"`
-	// LookupTTL is how long a caller may cache a look-up. Default 5 s.
+	// LookupTTL is how long a caller may cache a lookup. Default 5 s.
 	LookupTTL Duration `json:"lookup_ttl,omitempty"`
-	// StepInterval is the least time between two steps of a move. Default
-	// twice the look-up's time to live.
+	// StepInterval is the minimum time between two steps of a move. Default twice
+	// the lookup TTL.
 	StepInterval Duration `json:"step_interval,omitempty"`
-	// LeastHeadroom is the part of a hall's slots that no move may use.
+	// LeastHeadroom is the fraction of a hall's slots that moves must leave free.
 	// Default 10%.
 	LeastHeadroom *share.PPM `json:"least_headroom,omitempty"`
 }
@@ -64,7 +64,8 @@
 	Region string `json:"region"`
 }
 
-// Link limits what one hall may send to another, in both bodies together.
+// Link limits the bytes per second, requests and responses together, that one hall
+// may send to another.
 type Link struct {
 	From           string `json:"from"`
 	To             string `json:"to"`
@@ -77,13 +78,13 @@
 	DefaultLeastHeadroom = 10 * share.Percent
 )
 
-// TTL returns the look-up's time to live.
+// TTL returns how long a caller may cache a lookup.
 func (f *Fleet) TTL() time.Duration { return f.LookupTTL.Or(DefaultLookupTTL) }
 
-// Interval returns the least time between two steps of a move.
+// Interval returns the minimum time between two steps of a move.
 func (f *Fleet) Interval() time.Duration { return f.StepInterval.Or(2 * f.TTL()) }
 
-// Headroom returns the part of a hall's slots that no move may use.
+// Headroom returns the fraction of a hall's slots that moves must leave free.
 func (f *Fleet) Headroom() share.PPM {
 	if f.LeastHeadroom == nil {
 		return DefaultLeastHeadroom
@@ -101,42 +102,42 @@
 	return ""
 }
 
-func (f *Fleet) check(out *faults) {
-	out.within("halls", int64(len(f.Halls)), 1, MaxHalls)
-	out.within("links", int64(len(f.Links)), 0, MaxLinks)
+func (f *Fleet) check(out *violations) {
+	out.checkRange("halls", int64(len(f.Halls)), 1, MaxHalls)
+	out.checkRange("links", int64(len(f.Links)), 0, MaxLinks)
 	known := make(map[string]bool, len(f.Halls))
 	for i, h := range f.Halls {
 		field := "halls[" + strconv.Itoa(i) + "]"
-		out.name(field+".name", h.Name)
-		out.name(field+".region", h.Region)
+		out.checkName(field+".name", h.Name)
+		out.checkName(field+".region", h.Region)
 		if known[h.Name] {
-			out.add(field, "hall %q is listed twice", h.Name)
+			out.addf(field, "hall %q is listed twice", h.Name)
 		}
 		known[h.Name] = true
 	}
 	for i, l := range f.Links {
 		field := "links[" + strconv.Itoa(i) + "]"
 		if !known[l.From] || !known[l.To] || l.From == l.To {
-			out.add(field, "from %q to %q: want two different halls of the fleet", l.From, l.To)
+			out.addf(field, "from %q to %q: want two different halls of the fleet", l.From, l.To)
 		}
-		out.within(field+".bytes_per_second", l.BytesPerSecond, 1, maxLinkRate)
+		out.checkRange(field+".bytes_per_second", l.BytesPerSecond, 1, maxLinkRate)
 	}
-	out.within("lookup_ttl", int64(f.TTL()), int64(50*time.Millisecond), int64(time.Hour))
-	out.within("step_interval", int64(f.Interval()), int64(50*time.Millisecond), int64(time.Hour))
-	out.within("least_headroom", int64(f.Headroom()), 0, int64(share.Whole))
+	out.checkRange("lookup_ttl", int64(f.TTL()), int64(50*time.Millisecond), int64(time.Hour))
+	out.checkRange("step_interval", int64(f.Interval()), int64(50*time.Millisecond), int64(time.Hour))
+	out.checkRange("least_headroom", int64(f.Headroom()), 0, int64(share.Whole))
 }
 
-// Blocks binds client blocks to halls: a list of prefixes for each hall.
+// Blocks assigns client address prefixes to halls.
 type Blocks struct {
 	Halls map[string][]netip.Prefix `json:"halls"`
 }
 
-func (b *Blocks) check(out *faults) {
+func (b *Blocks) check(out *violations) {
 	for hall, prefixes := range b.Halls {
-		out.name("halls", hall)
+		out.checkName("halls", hall)
 		for _, p := range prefixes {
 			if !p.IsValid() {
-				out.add("halls."+hall, "invalid prefix")
+				out.addf("halls."+hall, "invalid prefix")
 			}
 		}
 	}
@@ -147,16 +148,17 @@
 	// Name is taken from the object's name.
 	Name    string   `json:"-"`
 	Workers []Worker `json:"workers"`
-	// Once lists the HTTP methods that may not be repeated.
-	// Default POST and PATCH.
+	// Once lists the HTTP methods whose requests must run at most once. Default
+	// POST and PATCH.
 	Once []string `json:"once,omitempty"`
-	// Timeout bounds a request from its arrival to the head of its answer,
-	// not counting the time its body takes. Default 10 s.
+	// Timeout bounds the time from the arrival of a request to the response header,
+	// excluding the time spent on the request body. Default 10 s.
 	Timeout Duration `json:"timeout,omitempty"`
-	// ColdAnswers is how many answers warm the cache of a worker that
-	// started anew; until then it gets fewer slots. Default 20.
+	// ColdAnswers is how many responses a restarted worker must give before it
+	// counts as warm; until then it gets fewer slots. Default 20.
 	ColdAnswers int `json:"cold_answers,omitempty"`
-	// Essential services are refused last when a hall is full.
+	// Essential marks a service whose requests are refused last when a hall is
+	// full.
 	Essential bool `json:"essential,omitempty"`
 }
 
@@ -165,9 +167,9 @@
 	ID      string `json:"id"`
 	Hall    string `json:"hall"`
 	Address string `json:"address"`
-	// Slots is how many requests it runs at once.
+	// Slots is how many requests the worker runs concurrently.
 	Slots int `json:"slots"`
-	// Connections bounds the connections opened to it. Default 130.
+	// Connections bounds the connections opened to the worker. Default 130.
 	Connections int `json:"connections,omitempty"`
 }
 
@@ -178,7 +180,7 @@
 	DefaultConnections = 130
 )
 
-// IsOnce reports whether a request of this method may run at most once.
+// IsOnce reports whether a request with this method must run at most once.
 func (s *Service) IsOnce(method string) bool {
 	if len(s.Once) == 0 {
 		return method == "POST" || method == "PATCH"
@@ -191,7 +193,7 @@
 	return false
 }
 
-// Slots returns the sum of the slots that the service has in a hall.
+// Slots returns the total slots of the service's workers in a hall.
 func (s *Service) Slots(hall string) int {
 	total := 0
 	for _, w := range s.Workers {
@@ -202,23 +204,23 @@
 	return total
 }
 
-func (s *Service) check(out *faults) {
-	out.within("workers", int64(len(s.Workers)), 0, MaxWorkers)
+func (s *Service) check(out *violations) {
+	out.checkRange("workers", int64(len(s.Workers)), 0, MaxWorkers)
 	known := make(map[string]bool, len(s.Workers))
 	for i, w := range s.Workers {
 		field := "workers[" + strconv.Itoa(i) + "]"
-		out.name(field+".id", w.ID)
-		out.name(field+".hall", w.Hall)
+		out.checkName(field+".id", w.ID)
+		out.checkName(field+".hall", w.Hall)
 		if known[w.ID] {
-			out.add(field, "worker %q is listed twice", w.ID)
+			out.addf(field, "worker %q is listed twice", w.ID)
 		}
 		known[w.ID] = true
 		if _, err := netip.ParseAddrPort(w.Address); err != nil {
-			out.add(field+".address", "%q: want IP:port", w.Address)
+			out.addf(field+".address", "%q: want IP:port", w.Address)
 		}
-		out.within(field+".slots", int64(w.Slots), 1, maxSlots)
-		out.within(field+".connections", int64(w.Connections), 0, maxSlots)
+		out.checkRange(field+".slots", int64(w.Slots), 1, maxSlots)
+		out.checkRange(field+".connections", int64(w.Connections), 0, maxSlots)
 	}
-	out.within("timeout", int64(s.Timeout), 0, int64(time.Hour))
-	out.within("cold_answers", int64(s.ColdAnswers), 0, maxSlots)
+	out.checkRange("timeout", int64(s.Timeout), 0, int64(time.Hour))
+	out.checkRange("cold_answers", int64(s.ColdAnswers), 0, maxSlots)
 }
--- a/state/spec/spec.go
+++ b/state/spec/spec.go
@@ -1,14 +1,14 @@
 // Copyright 2026 The ryehill Authors
 // SPDX-License-Identifier: Apache-2.0
 
-// Package spec defines ryehill's kinds of configuration object, reads them from
-// JSON and checks them.
+// Package spec defines the kinds of configuration object, decodes them from JSON
+// and validates them.
 //
-// An Object is the envelope under which the platform holds a value: its kind
-// and name, the platform's version, and the id of the operation that wrote it.
-// The kinds are Fleet, Blocks, Service and Traffic. Reading is strict: unknown
-// fields, values out of range and oversized lists are errors that name the
-// field, and all faults of one object are reported together.
+// An Object is the envelope that the platform stores: kind, name, version, and the
+// id of the operation that wrote it. The kinds are Fleet, Blocks, Service and
+// Traffic. Decoding is strict: unknown fields, values out of range and oversized
+// lists are errors that name the field. All errors of one object are reported
+// together.
 //
 // # Usage
 //
@@ -28,7 +28,7 @@
 	"github.com/cockroachdb/errors"
 )
 
-// MaxObjectBytes is the largest object the platform holds.
+// MaxObjectBytes is the size limit of a stored object.
 const MaxObjectBytes = 1 << 20
 
 // Kind names a kind of object.
@@ -42,16 +42,17 @@
 	KindTraffic Kind = "traffic"
 )
 
-// MainName is the name of the kinds that exist once: Fleet and Traffic.
+// MainName is the object name of the kinds with a single instance, Fleet and
+// Traffic.
 const MainName = "main"
 
-// ErrObject reports an object that cannot be read or fails its checks.
-var ErrObject = errors.New("spec: bad object")
+// ErrObject reports an object that cannot be decoded or fails validation.
+var ErrObject = errors.New("spec: invalid object")
 
 var namePattern = regexp.MustCompile(`^[a-z0-9]([a-z0-9-]{0,61}[a-z0-9])?$`)
 
-// ValidName reports whether a name of a hall, service, VM or object is valid:
-// 1 to 63 lower-case letters, digits and inner hyphens.
+// ValidName reports whether name is valid for a hall, service, VM or object: 1 to
+// 63 lower-case letters, digits and inner hyphens.
 func ValidName(name string) bool { return namePattern.MatchString(name) }
 
 // Key identifies an object.
@@ -63,15 +64,15 @@
 // String returns the key as kind/name.
 func (k Key) String() string { return string(k.Kind) + "/" + k.Name }
 
-// Object is the envelope of a value on the platform.
+// Object is the stored envelope of a value.
 type Object struct {
 	Key
-	// Version rises with every write on the platform, across all objects.
+	// Version increases with every write to the platform, across all objects.
 	Version uint64 `json:"version"`
 	// Operation is the id that the writer gave to the write.
 	Operation string `json:"operation,omitempty"`
-	// Deleted marks what is left of an object that was deleted, so that the
-	// deletion spreads like any other change.
+	// Deleted marks a tombstone, through which a deletion is distributed like any
+	// other change.
 	Deleted bool            `json:"deleted,omitempty"`
 	Spec    json.RawMessage `json:"spec,omitempty"`
 }
@@ -84,28 +85,28 @@
 func (*Service) value() {}
 func (*Traffic) value() {}
 
-// DecodeObject reads an envelope. It returns ErrObject for malformed JSON,
-// unknown fields, a bad key, or more than MaxObjectBytes.
+// DecodeObject decodes an envelope. It returns ErrInvalidObject for malformed JSON,
+// unknown fields, an invalid key, or a body over MaxObjectBytes.
 func DecodeObject(body []byte) (Object, error) {
 	if len(body) > MaxObjectBytes {
-		return Object{}, errors.Wrapf(ErrObject, "%d bytes, at most %d", len(body), MaxObjectBytes)
+		return Object{}, errors.Wrapf(ErrObject, "%d bytes, limit is %d", len(body), MaxObjectBytes)
 	}
 	var o Object
-	if err := strict(body, &o); err != nil {
+	if err := decodeStrict(body, &o); err != nil {
 		return Object{}, err
 	}
 	if !ValidName(o.Name) || !ValidName(string(o.Kind)) {
-		return Object{}, errors.Wrapf(ErrObject, "key %q: want kind and name of lower-case letters, digits and hyphens", o.Key)
+		return Object{}, errors.Wrapf(ErrObject, "key %q: kind and name must be lower-case letters, digits and hyphens", o.Key)
 	}
 	return o, nil
 }
 
-// Value decodes and checks the object's spec.
-// It returns ErrObject, naming the object and every faulty field.
+// Value decodes and validates the object's spec. It returns ErrInvalidObject with
+// the object's key and every invalid field.
 func (o Object) Value() (Value, error) {
 	var v interface {
 		Value
-		check(*faults)
+		check(*violations)
 	}
 	switch o.Kind {
 	case KindFleet:
@@ -119,12 +120,12 @@
 	default:
 		return nil, errors.Wrapf(ErrObject, "%s: unknown kind", o.Key)
 	}
-	if err := strict(o.Spec, v); err != nil {
+	if err := decodeStrict(o.Spec, v); err != nil {
 		return nil, errors.Wrapf(err, "%s", o.Key)
 	}
-	var f faults
+	var f violations
 	if single := o.Kind == KindFleet || o.Kind == KindTraffic; single && o.Name != MainName {
-		f.add("name", "%q: the only %s is %q", o.Name, o.Kind, MainName)
+		f.addf("name", "%q: the only %s is %q", o.Name, o.Kind, MainName)
 	}
 	v.check(&f)
 	if err := f.err(); err != nil {
@@ -133,8 +134,8 @@
 	return v, nil
 }
 
-// Encode returns an object without a version for a value.
-// It panics if the value cannot be written as JSON, which no kind allows.
+// Encode returns an object without a version that holds v. It panics if v cannot be
+// encoded as JSON, which no kind allows.
 func Encode(key Key, v Value) Object {
 	raw, err := json.Marshal(v)
 	if err != nil {
@@ -143,38 +144,39 @@
 	return Object{Key: key, Spec: raw}
 }
 
-// Set is a list of objects as an operator writes them into one file.
+// Set is a list of objects in one configuration file.
 type Set struct {
 	Objects []Object `json:"objects"`
 }
 
-// DecodeSet reads and checks a whole file. All faults are reported together.
+// DecodeSet decodes and validates a configuration file. It reports the errors of
+// all objects together.
 func DecodeSet(body []byte) (Set, error) {
 	var s Set
-	if err := strict(body, &s); err != nil {
+	if err := decodeStrict(body, &s); err != nil {
 		return Set{}, err
 	}
-	var all error
+	var combined error
 	for _, o := range s.Objects {
 		if !ValidName(o.Name) {
-			all = errors.CombineErrors(all, errors.Wrapf(ErrObject, "%s: bad name", o.Key))
+			combined = errors.CombineErrors(combined, errors.Wrapf(ErrObject, "%s: invalid name", o.Key))
 			continue
 		}
 		if _, err := o.Value(); err != nil {
-			all = joinErrors(all, err)
+			combined = joinErrors(combined, err)
 		}
 	}
-	return s, all
+	return s, combined
 }
 
-func joinErrors(all, err error) error {
-	if all == nil {
+func joinErrors(joined, err error) error {
+	if joined == nil {
 		return err
 	}
-	return errors.Newf("%v\n%v", all, err)
+	return errors.Newf("%v\n%v", joined, err)
 }
 
-func strict(body []byte, into any) error {
+func decodeStrict(body []byte, into any) error {
 	decoder := json.NewDecoder(bytes.NewReader(body))
 	decoder.DisallowUnknownFields()
 	if err := decoder.Decode(into); err != nil {
--- a/state/spec/spec_test.go
+++ b/state/spec/spec_test.go
@@ -10,7 +10,7 @@
 	"github.com/ryehill/ryehill/state/spec"
 )
 
-func TestFaultsAreReportedTogether(t *testing.T) {
+func TestAllViolationsAreReported(t *testing.T) {
 	o, err := spec.DecodeObject([]byte(`{"kind":"service","name":"pay","version":1,"spec":{"workers":[
 		{"id":"W","hall":"a","address":"nowhere","slots":0},{"id":"w2","hall":"a","address":"10.0.0.1:80","slots":1}]}}`))
 	if err != nil {
@@ -19,7 +19,7 @@
 	_, err = o.Value()
 	for _, want := range []string{"service/pay", "workers[0].id", "want IP:port", "workers[0].slots: 0: allowed are 1 to 10000"} {
 		if err == nil || !strings.Contains(err.Error(), want) {
-			t.Errorf("%v lacks %q", err, want)
+			t.Errorf("error %v does not contain %q", err, want)
 		}
 	}
 }
@@ -35,7 +35,7 @@
 		}
 		value, err := o.Value()
 		if err == nil && value == nil {
-			t.Fatal("neither a value nor an error")
+			t.Fatal("Value returned neither a value nor an error")
 		}
 	})
 }
--- a/state/steering/table.go
+++ b/state/steering/table.go
@@ -1,12 +1,12 @@
 // Copyright 2026 The ryehill Authors
 // SPDX-License-Identifier: Apache-2.0
 
-// Package steering maps the address of a client to its home hall.
+// Package steering maps client addresses to home halls.
 //
-// A Table is built from Parts, one for each object of blocks, and never changes, so that any number
-// of goroutines may read it without a lock. Blocks may nest; the longest prefix
-// wins. Building flattens them into disjoint ranges, and a look-up is a binary
-// search over these without allocation.
+// A Table is built from Parts, one for each blocks object, and is immutable, so
+// goroutines may read it without locking. Blocks may nest; the longest prefix wins.
+// Building a table flattens the blocks into disjoint ranges, and a lookup is a
+// binary search over them that does not allocate.
 //
 // # Usage
 //
@@ -24,19 +24,19 @@
 )
 
 const (
-	// MaxBlocks bounds the blocks of one table.
+	// MaxBlocks bounds the number of blocks in a table.
 	MaxBlocks = 1 << 20
-	// MaxHalls bounds the distinct home halls of one table.
+	// MaxHalls bounds the number of distinct home halls in a table.
 	MaxHalls = 1 << 12
-	// MaxBitsV6 is the longest IPv6 prefix: longer ones name single hosts,
-	// and 64 bits keep a range's key in one word.
+	// MaxBitsV6 is the longest IPv6 prefix allowed. The first 64 bits of an address
+	// fit in one word, and longer prefixes identify single hosts.
 	MaxBitsV6 = 64
 )
 
 // ErrBlock reports a block that a table cannot hold.
-var ErrBlock = errors.New("steering: bad block")
+var ErrBlock = errors.New("steering: invalid block")
 
-// Block binds a prefix of client addresses to a home hall.
+// Block assigns a prefix of client addresses to a home hall.
 type Block struct {
 	Prefix netip.Prefix
 	Hall   string
@@ -51,8 +51,8 @@
 	count int
 }
 
-// ranges are disjoint and sorted: the range at index i starts at starts[i],
-// ends before starts[i+1] and belongs to halls[homes[i]]; home 0 is no hall.
+// ranges are disjoint and sorted. Range i starts at starts[i], ends before
+// starts[i+1] and belongs to halls[homes[i]]. Home 0 means no hall.
 type ranges struct {
 	starts []uint64
 	homes  []uint16
@@ -60,7 +60,7 @@
 
 type span struct {
 	first, last uint64
-	// order tells equal prefixes apart: the later one wins.
+	// order breaks ties between equal prefixes: the highest wins.
 	order uint32
 	home  uint16
 }
@@ -74,17 +74,17 @@
 	return Merge([]*Part{p})
 }
 
-// Part is a list of blocks in compact form, 24 bytes each, so that a change of
-// one part of the configuration does not need all others to be read again. It
-// is never changed after NewPart and is safe for concurrent use.
+// Part is a compact list of blocks, 24 bytes each, so that a change of one
+// configuration object does not require decoding all others. It is immutable after
+// NewPart and safe for concurrent use.
 type Part struct {
 	halls  []string
 	v4, v6 []span
 }
 
-// NewPart checks blocks and packs them. It returns ErrBlock, naming the block,
-// for an invalid prefix, an IPv6 prefix longer than MaxBitsV6, an empty hall, or
-// more than MaxHalls halls.
+// NewPart validates and compacts blocks. It returns ErrInvalidBlock for an invalid
+// prefix, an IPv6 prefix longer than MaxBitsV6, an empty hall, or more than
+// MaxHalls halls.
 func NewPart(blocks []Block) (*Part, error) {
 	p := &Part{}
 	index := make(map[string]uint16)
@@ -93,7 +93,7 @@
 		if err != nil {
 			return nil, err
 		}
-		if s.home, p.halls, err = intern(index, p.halls, b.Hall); err != nil {
+		if s.home, p.halls, err = internHall(index, p.halls, b.Hall); err != nil {
 			return nil, err
 		}
 		if is4 {
@@ -106,9 +106,9 @@
 	return p, nil
 }
 
-// Merge builds a table from parts. Of two equal prefixes the later one wins, so
-// that a caller can lay corrections over a base.
-// It returns ErrBlock for more than MaxBlocks blocks or MaxHalls halls.
+// Merge builds a table from parts. If two prefixes are equal, the later one wins,
+// so that a caller can override a base. It returns ErrInvalidBlock for more than
+// MaxBlocks blocks or MaxHalls halls.
 func Merge(parts []*Part) (*Table, error) {
 	t := &Table{halls: []string{""}}
 	index := map[string]uint16{"": 0}
@@ -121,19 +121,19 @@
 		homes := make([]uint16, len(p.halls))
 		for i, hall := range p.halls {
 			var err error
-			if homes[i], t.halls, err = intern(index, t.halls, hall); err != nil {
+			if homes[i], t.halls, err = internHall(index, t.halls, hall); err != nil {
 				return nil, err
 			}
 		}
-		v4 = appendSpans(v4, p.v4, homes)
-		v6 = appendSpans(v6, p.v6, homes)
+		v4 = appendRemapped(v4, p.v4, homes)
+		v6 = appendRemapped(v6, p.v6, homes)
 	}
 	t.v4 = flatten(v4)
 	t.v6 = flatten(v6)
 	return t, nil
 }
 
-func appendSpans(all, spans []span, homes []uint16) []span {
+func appendRemapped(all, spans []span, homes []uint16) []span {
 	all = slices.Grow(all, len(spans))
 	for _, s := range spans {
 		s.home = homes[s.home]
@@ -143,7 +143,7 @@
 	return all
 }
 
-func intern(index map[string]uint16, halls []string, hall string) (uint16, []string, error) {
+func internHall(index map[string]uint16, halls []string, hall string) (uint16, []string, error) {
 	if hall == "" {
 		return 0, halls, errors.Wrap(ErrBlock, "empty hall")
 	}
@@ -158,15 +158,15 @@
 	return home, append(halls, hall), nil
 }
 
-// Home returns the home hall of a client's address, or false if no block
-// holds it. It does not allocate.
+// Home returns the home hall of a client's address, or false if no block contains
+// it. It does not allocate.
 func (t *Table) Home(client netip.Addr) (string, bool) {
 	client = client.Unmap()
 	r := &t.v6
 	if client.Is4() {
 		r = &t.v4
 	}
-	home := r.find(key(client))
+	home := r.homeAt(addressKey(client))
 	if home == 0 {
 		return "", false
 	}
@@ -181,13 +181,13 @@
 	return slices.Clone(t.halls[1:])
 }
 
-// Blocks returns how many blocks the table was built from.
+// Blocks returns the number of blocks that the table was built from.
 func (t *Table) Blocks() int { return t.count }
 
-// Ranges returns how many disjoint ranges the blocks were flattened to.
+// Ranges returns the number of disjoint ranges after flattening.
 func (t *Table) Ranges() int { return len(t.v4.starts) + len(t.v6.starts) }
 
-func (r *ranges) find(k uint64) uint16 {
+func (r *ranges) homeAt(k uint64) uint16 {
 	low, high := 0, len(r.starts)
 	for low < high {
 		middle := int(uint(low+high) >> 1)
@@ -203,7 +203,7 @@
 	return r.homes[low-1]
 }
 
-func (r *ranges) add(start uint64, home uint16) {
+func (r *ranges) appendRange(start uint64, home uint16) {
 	last := len(r.starts) - 1
 	if last >= 0 && r.starts[last] == start {
 		r.homes[last] = home
@@ -216,9 +216,9 @@
 	r.homes = append(r.homes, home)
 }
 
-// key maps an address to one word. IPv4 addresses take the low 32 bits, IPv6
-// addresses their high 64 bits, since blocks are never longer than that.
-func key(a netip.Addr) uint64 {
+// addressKey converts an address to an integer: IPv4 addresses occupy the low 32
+// bits, IPv6 addresses contribute their high 64 bits, the longest prefix allowed.
+func addressKey(a netip.Addr) uint64 {
 	if a.Is4() {
 		b := a.As4()
 		return uint64(binary.BigEndian.Uint32(b[:]))
@@ -229,7 +229,7 @@
 
 func spanOf(p netip.Prefix) (span, bool, error) {
 	if !p.IsValid() || p.Addr().Is4In6() {
-		return span{}, false, errors.Wrapf(ErrBlock, "prefix %s", p)
+		return span{}, false, errors.Wrapf(ErrBlock, "invalid prefix %s", p)
 	}
 	is4 := p.Addr().Is4()
 	width := MaxBitsV6
@@ -239,13 +239,13 @@
 	if p.Bits() > width {
 		return span{}, false, errors.Wrapf(ErrBlock, "prefix %s is longer than /%d", p, width)
 	}
-	first := key(p.Masked().Addr())
+	first := addressKey(p.Masked().Addr())
 	size := uint64(1)<<(width-p.Bits()) - 1
 	return span{first: first, last: first + size}, is4, nil
 }
 
-// flatten turns nested spans into disjoint ranges. Spans of prefixes either
-// nest or are disjoint, so a stack of the open ones is enough.
+// flatten converts nested spans to disjoint ranges. Prefix spans either nest or are
+// disjoint, so a stack of open spans suffices.
 func flatten(spans []span) ranges {
 	slices.SortFunc(spans, func(a, b span) int {
 		return cmp.Or(cmp.Compare(a.first, b.first), cmp.Compare(b.last, a.last), cmp.Compare(a.order, b.order))
@@ -259,28 +259,28 @@
 	}
 	var open []span
 	for _, s := range spans {
-		open = closeBefore(&r, open, s.first)
+		open = closeSpansBefore(&r, open, s.first)
 		if n := len(open); n > 0 && open[n-1].first == s.first && open[n-1].last == s.last {
 			open[n-1] = s
 		} else {
 			open = append(open, s)
 		}
-		r.add(s.first, s.home)
+		r.appendRange(s.first, s.home)
 	}
 	for len(open) > 0 {
-		open = closeLast(&r, open)
+		open = closeLastSpan(&r, open)
 	}
 	return r
 }
 
-func closeBefore(r *ranges, open []span, first uint64) []span {
+func closeSpansBefore(r *ranges, open []span, first uint64) []span {
 	for len(open) > 0 && open[len(open)-1].last < first {
-		open = closeLast(r, open)
+		open = closeLastSpan(r, open)
 	}
 	return open
 }
 
-func closeLast(r *ranges, open []span) []span {
+func closeLastSpan(r *ranges, open []span) []span {
 	closed := open[len(open)-1]
 	open = open[:len(open)-1]
 	if closed.last == ^uint64(0) {
@@ -290,6 +290,6 @@
 	if len(open) > 0 {
 		home = open[len(open)-1].home
 	}
-	r.add(closed.last+1, home)
+	r.appendRange(closed.last+1, home)
 	return open
 }
--- a/state/steering/table_test.go
+++ b/state/steering/table_test.go
@@ -13,7 +13,7 @@
 	"github.com/ryehill/ryehill/state/steering"
 )
 
-// A table answers as a search through all blocks for the longest prefix would.
+// Table lookups must agree with a linear search for the longest prefix.
 func TestLongestPrefixWins(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var blocks []steering.Block
@@ -40,7 +40,7 @@
 }
 
 func drawAddr(t *rapid.T) netip.Addr {
-	// Few distinct bits, so that blocks nest and meet at their edges.
+	// Few distinct bytes make blocks nest and share boundaries.
 	b := rapid.SliceOfN(rapid.SampledFrom([]byte{0, 1, 127, 128, 255}), 4, 4).Draw(t, "bytes")
 	if rapid.Bool().Draw(t, "v6") {
 		return netip.AddrFrom16([16]byte{0x20, 1, b[0], b[1], b[2], b[3], 0, 9})
@@ -57,7 +57,7 @@
 	return netip.PrefixFrom(a, rapid.IntRange(0, longest).Draw(t, "bits")).Masked()
 }
 
-func TestBadBlocksAreNamed(t *testing.T) {
+func TestInvalidBlocksAreRejected(t *testing.T) {
 	cases := map[string]steering.Block{
 		"zero prefix":   {Hall: "a"},
 		"no hall":       {Prefix: netip.MustParsePrefix("10.0.0.0/8")},
@@ -67,13 +67,13 @@
 	for name, b := range cases {
 		t.Run(name, func(t *testing.T) {
 			if _, err := steering.New([]steering.Block{b}); err == nil {
-				t.Fatal("no error")
+				t.Fatal("New accepted an invalid block")
 			}
 		})
 	}
 }
 
-// targetBlocks are as many blocks as the target size has, over 21 halls.
+// targetBlocks returns n blocks spread over 21 halls.
 func targetBlocks(n int) []steering.Block {
 	blocks := make([]steering.Block, 0, n)
 	for i := range n {
--- a/state/view/view.go
+++ b/state/view/view.go
@@ -1,12 +1,12 @@
 // Copyright 2026 The ryehill Authors
 // SPDX-License-Identifier: Apache-2.0
 
-// Package view compiles configuration objects into one immutable picture that
-// every look-up and request of a moment reads.
+// Package view compiles configuration objects into an immutable snapshot for
+// lookups and requests.
 //
 // # Usage
 //
-//	v, err := view.Compile(generation, objects)
+//	v, err := view.Compile(generation, objects, previous)
 //	hall, ok := v.Home(client)
 //	moves := v.Moves("lookup", hall)
 package view
@@ -23,36 +23,36 @@
 	"github.com/ryehill/ryehill/state/steering"
 )
 
-// View is the configuration of one generation. It is never changed after
-// Compile and is safe for concurrent use.
+// View is the configuration of one generation. It is immutable after Compile and
+// safe for concurrent use.
 type View struct {
 	generation uint64
 	fleet      *spec.Fleet
 	services   map[string]*spec.Service
 	traffic    *spec.Traffic
 	table      *steering.Table
-	moves      map[place][]*spec.Move
+	moves      map[moveKey][]*spec.Move
 	leaving    map[string]bool
-	parts      map[string]part // blocks by the name of their object
+	parts      map[string]blockPart // by the name of the blocks object
 }
 
-// part is the blocks of one version of an object.
-type part struct {
+// blockPart holds the blocks of one version of an object.
+type blockPart struct {
 	version uint64
 	blocks  *steering.Part
 }
 
-type place struct{ service, hall string }
+type moveKey struct{ service, hall string }
 
 // Empty returns a view with no halls, blocks or services.
 func Empty() *View {
 	return &View{fleet: &spec.Fleet{}, traffic: &spec.Traffic{}, table: &steering.Table{}}
 }
 
-// Compile builds a view from all objects that a process holds. Objects that
-// fail their checks are left out, as the process must go on serving, and are
-// reported in the error; the view is always usable. The steering table of the
-// previous view, which may be nil, is used again if no block changed.
+// Compile builds a view from all objects that a process holds. Invalid objects are
+// skipped and reported in the error, but the view is always usable, so that the
+// process keeps serving. If no blocks object changed, the steering table of the
+// previous view, which may be nil, is reused.
 func Compile(generation uint64, objects []spec.Object, previous *View) (*View, error) {
 	v := Empty()
 	v.generation = generation
@@ -72,17 +72,17 @@
 			faulty = append(faulty, err.Error())
 			continue
 		}
-		v.place(value)
+		v.addValue(value)
 	}
 	faulty = append(faulty, v.compileBlocks(blocks, previous)...)
-	v.index()
+	v.indexTraffic()
 	if len(faulty) > 0 {
 		return v, errors.Newf("view: compile generation %d: %s", generation, strings.Join(faulty, "; "))
 	}
 	return v, nil
 }
 
-func (v *View) place(value spec.Value) {
+func (v *View) addValue(value spec.Value) {
 	switch value := value.(type) {
 	case *spec.Fleet:
 		v.fleet = value
@@ -91,34 +91,34 @@
 	case *spec.Traffic:
 		v.traffic = value
 	case *spec.Blocks:
-		// Blocks are compiled together, see compileBlocks.
+		// compileBlocks handles all blocks objects together.
 	}
 }
 
-// compileBlocks lays the objects over each other by name, so that the order in
-// which they arrived does not matter. Objects that have not changed are not read
-// again, and neither is the table built again if none has.
+// compileBlocks merges the blocks objects in the order of their names, so that the
+// order of arrival does not matter. Unchanged objects are not decoded again, and
+// the table is rebuilt only if an object changed.
 func (v *View) compileBlocks(objects []spec.Object, previous *View) []string {
 	slices.SortFunc(objects, func(a, b spec.Object) int { return strings.Compare(a.Name, b.Name) })
 	var faulty []string
-	v.parts = make(map[string]part, len(objects))
+	v.parts = make(map[string]blockPart, len(objects))
 	parts := make([]*steering.Part, 0, len(objects))
 	same := previous != nil && len(previous.parts) == len(objects)
 	for _, o := range objects {
 		if previous != nil {
-			if known, ok := previous.parts[o.Name]; ok && known.version == o.Version && o.Version != 0 {
-				v.parts[o.Name] = known
-				parts = append(parts, known.blocks)
+			if reusable, ok := previous.parts[o.Name]; ok && reusable.version == o.Version && o.Version != 0 {
+				v.parts[o.Name] = reusable
+				parts = append(parts, reusable.blocks)
 				continue
 			}
 		}
 		same = false
-		blocks, err := readBlocks(o)
+		blocks, err := decodeBlocks(o)
 		if err != nil {
 			faulty = append(faulty, err.Error())
 			continue
 		}
-		v.parts[o.Name] = part{version: o.Version, blocks: blocks}
+		v.parts[o.Name] = blockPart{version: o.Version, blocks: blocks}
 		parts = append(parts, blocks)
 	}
 	if same {
@@ -137,15 +137,15 @@
 	return faulty
 }
 
-func readBlocks(o spec.Object) (*steering.Part, error) {
+func decodeBlocks(o spec.Object) (*steering.Part, error) {
 	value, err := o.Value()
 	if err != nil {
 		return nil, err
 	}
 	object, _ := value.(*spec.Blocks)
 	var blocks []steering.Block
-	// In the order of names, so that every VM settles a prefix that is listed
-	// under two halls in the same way.
+	// Iterate in the order of hall names, so that every VM resolves a prefix listed
+	// under two halls to the same one.
 	for _, hall := range slices.Sorted(maps.Keys(object.Halls)) {
 		for _, p := range object.Halls[hall] {
 			blocks = append(blocks, steering.Block{Prefix: p, Hall: hall})
@@ -155,14 +155,14 @@
 	return p, errors.Wrapf(err, "%s", o.Key)
 }
 
-func (v *View) index() {
-	v.moves = make(map[place][]*spec.Move)
+func (v *View) indexTraffic() {
+	v.moves = make(map[moveKey][]*spec.Move)
 	for i := range v.traffic.Moves {
 		m := &v.traffic.Moves[i]
 		if m.State == spec.MoveStopped || m.Effective() == 0 {
 			continue
 		}
-		key := place{m.Service, m.From}
+		key := moveKey{m.Service, m.From}
 		v.moves[key] = append(v.moves[key], m)
 	}
 	v.leaving = make(map[string]bool, len(v.traffic.Leaving))
@@ -171,22 +171,22 @@
 	}
 }
 
-// Generation returns the platform's revision that the view reflects.
+// Generation returns the platform revision of the view.
 func (v *View) Generation() uint64 { return v.generation }
 
-// Fleet returns the halls and links. The caller must not change it.
+// Fleet returns the halls and links. The caller must not modify it.
 func (v *View) Fleet() *spec.Fleet { return v.fleet }
 
-// Traffic returns moves and caps. The caller must not change it.
+// Traffic returns the moves and caps. The caller must not modify it.
 func (v *View) Traffic() *spec.Traffic { return v.traffic }
 
-// Service returns a service by name. The caller must not change it.
+// Service returns a service by name. The caller must not modify it.
 func (v *View) Service(name string) (*spec.Service, bool) {
 	s, ok := v.services[name]
 	return s, ok
 }
 
-// Services returns the names of all services in order.
+// Services returns the names of all services in ascending order.
 func (v *View) Services() []string {
 	names := make([]string, 0, len(v.services))
 	for name := range v.services {
@@ -202,36 +202,36 @@
 // Home returns the home hall of a client.
 func (v *View) Home(client netip.Addr) (string, bool) { return v.table.Home(client) }
 
-// Moves returns the moves of a service out of a hall that have a share in
-// force, in the order of the traffic object.
-func (v *View) Moves(service, from string) []*spec.Move { return v.moves[place{service, from}] }
+// Moves returns the moves of a service out of a hall whose effective share is above
+// zero, in the order of the traffic object.
+func (v *View) Moves(service, from string) []*spec.Move { return v.moves[moveKey{service, from}] }
 
 // Leaving reports whether an operator drains the worker.
 func (v *View) Leaving(worker string) bool { return v.leaving[worker] }
 
-// Nearest returns the other halls that have upstreams of a service: those of
-// the same region first, each group in the order of the fleet object.
+// Nearest returns the other halls that have workers of a service: first those of
+// the same region, then all others, each group in the order of the fleet object.
 func (v *View) Nearest(hall, service string) []string {
 	s, ok := v.services[service]
 	if !ok {
 		return nil
 	}
 	region := v.fleet.Region(hall)
-	var near, far []string
+	var sameRegion, otherRegions []string
 	for _, h := range v.fleet.Halls {
 		switch {
 		case h.Name == hall || s.Slots(h.Name) == 0:
 		case h.Region == region:
-			near = append(near, h.Name)
+			sameRegion = append(sameRegion, h.Name)
 		default:
-			far = append(far, h.Name)
+			otherRegions = append(otherRegions, h.Name)
 		}
 	}
-	return append(near, far...)
+	return append(sameRegion, otherRegions...)
 }
 
-// AtGeneration returns the same configuration with a later generation, for a
-// revision of the platform that changed no configuration.
+// AtGeneration returns the same configuration at a later generation, for a platform
+// revision without a configuration change.
 func (v *View) AtGeneration(generation uint64) *View {
 	next := *v
 	next.generation = generation
@@ -239,16 +239,16 @@
 }
 
 // WithTraffic returns the same configuration with another traffic object, for
-// decisions that rest on one just read from the platform.
+// decisions based on one just read from the platform.
 func (v *View) WithTraffic(t *spec.Traffic) *View {
 	next := *v
 	next.traffic = t
-	next.index()
+	next.indexTraffic()
 	return &next
 }
 
-// Check returns an error that names every hall that blocks or services refer to
-// and that the fleet does not have.
+// Check returns an error that names every hall that blocks or services refer to and
+// the fleet lacks.
 func (v *View) Check() error {
 	known := make(map[string]bool)
 	for _, h := range v.fleet.Halls {
