--- a/state/spec/kinds.go
+++ b/state/spec/kinds.go
@@ -64,8 +64,8 @@
 	Region string `json:"region"`
 }
 
-// Link limits the bytes per second, requests and responses together, that one hall
-// may send to another.
+// Link limits the bytes per second that one hall may send to another, counting
+// request and response bodies together.
 type Link struct {
 	From           string `json:"from"`
 	To             string `json:"to"`
