--- a/coordination/controller/controller.go
+++ b/coordination/controller/controller.go
@@ -58,7 +58,7 @@
 // Rules of the controller.
 const (
 	RuleStep     Rule = "step"
-	RuleBack     Rule = "back"
+	RuleStepBack Rule = "back"
 	RuleStale    Rule = "stale"
 	RuleHeadroom Rule = "headroom"
 	RuleWaiting  Rule = "waiting"
@@ -99,15 +99,15 @@
 
 func (f *Facts) stepMove(m *spec.Move) (Action, bool) {
 	source, ok := f.Halls[m.From]
-	if !ok || source.Age(f.Now) > intent.FreshStatus {
-		return f.pause(m, RuleStale, fmt.Sprintf("hall %s has sent no status within %s", m.From, intent.FreshStatus), nil)
+	if !ok || source.Age(f.Now) > intent.MaxStatusAge {
+		return f.pause(m, RuleStale, fmt.Sprintf("hall %s has sent no status within %s", m.From, intent.MaxStatusAge), nil)
 	}
 	inputs := []decision.Input{statusInput(source, m.Service, f.Now)}
 	growthLimit := math.MaxFloat64
 	for _, t := range m.Targets {
 		target, ok := f.Halls[t.Hall]
-		if !ok || target.Age(f.Now) > intent.FreshStatus {
-			return f.pause(m, RuleStale, fmt.Sprintf("hall %s has sent no status within %s", t.Hall, intent.FreshStatus), inputs)
+		if !ok || target.Age(f.Now) > intent.MaxStatusAge {
+			return f.pause(m, RuleStale, fmt.Sprintf("hall %s has sent no status within %s", t.Hall, intent.MaxStatusAge), inputs)
 		}
 		inputs = append(inputs, statusInput(target, m.Service, f.Now))
 		s := target.Services[m.Service]
@@ -147,7 +147,7 @@
 	if source.Generation < f.Version || source.Missing > 0 {
 		return false
 	}
-	return m.State == spec.MoveConfirmed || f.Now.Sub(time.UnixMilli(m.Changed)) >= f.Fleet.Interval()
+	return m.State == spec.MoveConfirmed || f.Now.Sub(time.UnixMilli(m.ChangedAt)) >= f.Fleet.Interval()
 }
 
 // maxGrowth returns how much the share may grow, as a fraction of all requests, to
@@ -191,13 +191,13 @@
 		return f.pause(m, RuleHeadroom, reason, inputs)
 	}
 	m.Share -= min(m.Share, m.Step)
-	return f.advance(m, intent.EventStep, RuleBack, reason, inputs)
+	return f.advance(m, intent.EventStep, RuleStepBack, reason, inputs)
 }
 
 // intervalElapsed reports whether enough time has passed since the last change for
 // its effect to show, so that a step back may follow.
 func (f *Facts) intervalElapsed(m *spec.Move) bool {
-	return f.Now.Sub(time.UnixMilli(m.Changed)) >= f.Fleet.Interval()
+	return f.Now.Sub(time.UnixMilli(m.ChangedAt)) >= f.Fleet.Interval()
 }
 
 func (f *Facts) pause(m *spec.Move, rule Rule, reason string, inputs []decision.Input) (Action, bool) {
--- a/coordination/controller/controller_test.go
+++ b/coordination/controller/controller_test.go
@@ -27,7 +27,7 @@
 		Traffic: spec.Traffic{Moves: []spec.Move{{
 			ID: "m", Service: "lookup", From: "a", Targets: []spec.Target{{Hall: "b", Weight: 1}},
 			Goal: 50 * share.Percent, Cap: 40 * share.Percent, Step: 5 * share.Percent, Share: 10 * share.Percent,
-			State: spec.MoveMoving, Changed: now.Add(-time.Minute).UnixMilli(),
+			State: spec.MoveMoving, ChangedAt: now.Add(-time.Minute).UnixMilli(),
 		}}},
 		Version: 9, Now: now,
 		Halls: map[string]load.HallStatus{"a": status("a", load.ServiceStatus{Usable: 20, Busy: 10}), "b": status("b", target)},
@@ -45,8 +45,8 @@
 	}{
 		"steps":                {target: idle, rule: controller.RuleStep, share: 150_000, state: spec.MoveMoving},
 		"short of headroom":    {target: load.ServiceStatus{Usable: 20, InUse: 19}, rule: controller.RuleHeadroom, share: 100_000, state: spec.MovePaused},
-		"full":                 {target: load.ServiceStatus{Usable: 20, InUse: 20}, rule: controller.RuleBack, share: 50_000, state: spec.MoveMoving},
-		"below half its slots": {target: load.ServiceStatus{Usable: 5, InUse: 9}, rule: controller.RuleBack, share: 50_000, state: spec.MoveMoving},
+		"full":                 {target: load.ServiceStatus{Usable: 20, InUse: 20}, rule: controller.RuleStepBack, share: 50_000, state: spec.MoveMoving},
+		"below half its slots": {target: load.ServiceStatus{Usable: 5, InUse: 9}, rule: controller.RuleStepBack, share: 50_000, state: spec.MoveMoving},
 		"requests wait":        {target: load.ServiceStatus{Usable: 20, Waiting: 1}, rule: controller.RuleWaiting, share: 100_000, state: spec.MovePaused},
 		"limited spare slots":  {target: load.ServiceStatus{Usable: 20, Busy: 17.5}, rule: controller.RuleStep, share: 125_000, state: spec.MoveMoving},
 		"stale source": {target: idle, rule: controller.RuleStale, share: 100_000, state: spec.MovePaused, change: func(f *controller.Facts) {
@@ -59,7 +59,7 @@
 		}},
 		"not in force at all VMs": {target: idle, share: 100_000, state: spec.MoveMoving, change: func(f *controller.Facts) { f.Version = 10 }},
 		"interval not elapsed": {target: idle, share: 100_000, state: spec.MoveMoving, change: func(f *controller.Facts) {
-			f.Traffic.Moves[0].Changed = now.UnixMilli()
+			f.Traffic.Moves[0].ChangedAt = now.UnixMilli()
 		}},
 		"at the cap": {target: idle, rule: controller.RuleFinish, share: 400_000, state: spec.MoveDone, change: func(f *controller.Facts) {
 			f.Traffic.Moves[0].Share = 40 * share.Percent
@@ -101,7 +101,7 @@
 				Waiting: rapid.SampledFrom([]int{0, 0, 0, 3}).Draw(t, "waiting"),
 			}}
 			f.Halls["b"] = h
-			f.Traffic.Moves[0].Changed = now.Add(-time.Minute).UnixMilli()
+			f.Traffic.Moves[0].ChangedAt = now.Add(-time.Minute).UnixMilli()
 			before := f.Traffic.Moves[0]
 			next, actions := controller.Next(f)
 			after := next.Moves[0]
@@ -117,17 +117,17 @@
 }
 
 func TestLeaseExpiresByObserverClock(t *testing.T) {
-	var o controller.Observer
+	var o controller.LeaseObserver
 	held := controller.Lease{Holder: "a1", Start: 1, Renewal: 4}
 	at := now
-	if o.Lapsed(held, at) || o.Lapsed(held, at.Add(controller.LeaseTerm-1)) {
+	if o.Expired(held, at) || o.Expired(held, at.Add(controller.LeaseDuration-1)) {
 		t.Fatal("expired before the lease duration")
 	}
 	held.Renewal++
-	if o.Lapsed(held, at.Add(controller.LeaseTerm)) {
+	if o.Expired(held, at.Add(controller.LeaseDuration)) {
 		t.Fatal("expired right after a renewal")
 	}
-	if !o.Lapsed(held, at.Add(2*controller.LeaseTerm)) {
+	if !o.Expired(held, at.Add(2*controller.LeaseDuration)) {
 		t.Fatal("did not expire")
 	}
 }
--- a/coordination/controller/lease.go
+++ b/coordination/controller/lease.go
@@ -7,13 +7,13 @@
 
 // Lease timing and the number of candidates.
 const (
-	// LeaseTerm is how long a lease is valid after its last renewal.
-	LeaseTerm = 9 * time.Second
-	// LeaseRenew is the interval at which the holder renews.
-	LeaseRenew = LeaseTerm / 3
-	// Candidates is how many VMs of the fleet compete for the lease, so that the
+	// LeaseDuration is how long a lease is valid after its last renewal.
+	LeaseDuration = 9 * time.Second
+	// LeaseRenewInterval is the interval at which the holder renews.
+	LeaseRenewInterval = LeaseDuration / 3
+	// MaxCandidates is how many VMs of the fleet compete for the lease, so that the
 	// number of platform calls does not grow with the fleet.
-	Candidates = 3
+	MaxCandidates = 3
 )
 
 // Lease is the stored object that names the current controller.
@@ -25,20 +25,20 @@
 	Renewal uint64 `json:"renewal"`
 }
 
-// Observer detects an expired lease by its local clock alone: the renewal must be
+// LeaseObserver detects an expired lease by its local clock alone: the renewal must be
 // unchanged for a whole lease duration. It is not safe for concurrent use.
-type Observer struct {
+type LeaseObserver struct {
 	lastLease Lease
 	firstSeen time.Time
 }
 
-// Lapsed records the lease as read at a time and reports whether it has no holder
+// Expired records the lease as read at a time and reports whether it has no holder
 // or its holder has not renewed for a whole lease duration.
-func (o *Observer) Lapsed(l Lease, now time.Time) bool {
+func (o *LeaseObserver) Expired(l Lease, now time.Time) bool {
 	if l != o.lastLease || o.firstSeen.IsZero() {
 		o.lastLease = l
 		o.firstSeen = now
 		return l.Holder == ""
 	}
-	return l.Holder == "" || now.Sub(o.firstSeen) >= LeaseTerm
+	return l.Holder == "" || now.Sub(o.firstSeen) >= LeaseDuration
 }
--- a/coordination/intent/apply.go
+++ b/coordination/intent/apply.go
@@ -15,24 +15,24 @@
 // endedRetention is how long ended moves stay in the traffic object for queries.
 const endedRetention = 24 * time.Hour
 
-// ErrPlanAgain reports a plan made from an earlier edit of the traffic object than
+// ErrStalePlan reports a plan made from an earlier edit of the traffic object than
 // the current one: another operator's change came first.
-var ErrPlanAgain = errors.New("intent: traffic has changed since the plan was made; plan again")
+var ErrStalePlan = errors.New("intent: traffic has changed since the plan was made; plan again")
 
 // Apply returns the traffic object with the changes of a confirmed plan. It returns
 // ErrStalePlan if the plan was made from another edit of the object, and a *Refusal
 // if the result would exceed the limits on moves or caps.
 func Apply(p Plan, t spec.Traffic, now time.Time) (spec.Traffic, error) {
 	if p.Edit != t.Edit {
-		return t, errors.Wrapf(ErrPlanAgain, "plan is for edit %d, in force is %d", p.Edit, t.Edit)
+		return t, errors.Wrapf(ErrStalePlan, "plan is for edit %d, in force is %d", p.Edit, t.Edit)
 	}
 	next := clone(t)
 	next.Edit++
 	next.Moves = slices.DeleteFunc(next.Moves, func(m spec.Move) bool {
-		return m.Ended() && m.Share == 0 && now.Sub(time.UnixMilli(m.Changed)) > endedRetention
+		return m.Ended() && m.Share == 0 && now.Sub(time.UnixMilli(m.ChangedAt)) > endedRetention
 	})
 	for _, m := range p.Changes {
-		m.Note("confirmed by an operator", now)
+		m.RecordChange("confirmed by an operator", now)
 		next.Moves = append(next.Moves, m)
 	}
 	if p.Cap != nil {
@@ -71,7 +71,7 @@
 	next.Caps = slices.DeleteFunc(next.Caps, func(c spec.Cap) bool { return c.ID == id })
 	next.Leaving = slices.DeleteFunc(next.Leaving, func(w string) bool { return w == id })
 	if !found && before == len(next.Caps)+len(next.Leaving) {
-		return t, errors.Wrapf(ErrIntent, "nothing in force has the id %q", id)
+		return t, errors.Wrapf(ErrInvalidIntent, "nothing in force has the id %q", id)
 	}
 	return next, nil
 }
--- a/coordination/intent/decode.go
+++ b/coordination/intent/decode.go
@@ -14,7 +14,7 @@
 	decoder := json.NewDecoder(bytes.NewReader(body))
 	decoder.DisallowUnknownFields()
 	if err := decoder.Decode(into); err != nil {
-		return errors.Wrapf(ErrIntent, "%v", err)
+		return errors.Wrapf(ErrInvalidIntent, "%v", err)
 	}
 	return nil
 }
--- a/coordination/intent/intent.go
+++ b/coordination/intent/intent.go
@@ -26,9 +26,9 @@
 	"github.com/ryehill/ryehill/state/spec"
 )
 
-// ErrIntent reports an intent that cannot be decoded or refers to something that
+// ErrInvalidIntent reports an intent that cannot be decoded or refers to something that
 // does not exist.
-var ErrIntent = errors.New("intent: invalid intent")
+var ErrInvalidIntent = errors.New("intent: invalid intent")
 
 // Intent is an operator's request: Shift, DrainHall, DrainUpstream or Cap.
 type Intent interface{ kind() string }
@@ -112,7 +112,7 @@
 	case Cap{}.kind():
 		return decodeSpec[Cap](raw.Spec, e)
 	}
-	return errors.Wrapf(ErrIntent, "kind %q: allowed are shift, drain-hall, drain-upstream and cap", raw.Kind)
+	return errors.Wrapf(ErrInvalidIntent, "kind %q: allowed are shift, drain-hall, drain-upstream and cap", raw.Kind)
 }
 
 func decodeSpec[T Intent](raw json.RawMessage, e *Envelope) error {
@@ -124,8 +124,8 @@
 	return nil
 }
 
-// Find returns the move with an id in a traffic object, or nil.
-func Find(t *spec.Traffic, moveID string) *spec.Move {
+// FindMove returns the move with an id in a traffic object, or nil.
+func FindMove(t *spec.Traffic, moveID string) *spec.Move {
 	for i := range t.Moves {
 		if t.Moves[i].ID == moveID {
 			return &t.Moves[i]
--- a/coordination/intent/intent_test.go
+++ b/coordination/intent/intent_test.go
@@ -23,7 +23,7 @@
 // facts describes two halls: a with 20 slots and 16 busy, b with 20 and 10.
 func facts() intent.Facts {
 	v, err := view.Compile(1, []spec.Object{
-		spec.Encode(spec.Key{Kind: spec.KindFleet, Name: spec.MainName}, &spec.Fleet{
+		spec.Encode(spec.Key{Kind: spec.KindFleet, Name: spec.SingletonName}, &spec.Fleet{
 			Halls: []spec.Hall{{Name: "a", Region: "east"}, {Name: "b", Region: "west"}},
 			Links: []spec.Link{{From: "a", To: "b", BytesPerSecond: 1000}},
 		}),
@@ -42,8 +42,8 @@
 	return intent.Facts{ID: "p1", View: v, Now: now, Halls: map[string]load.HallStatus{"a": hall("a", 16), "b": hall("b", 10)}}
 }
 
-func ExampleMake() {
-	plan, err := intent.Make(intent.Shift{Service: "lookup", From: "a", To: "b", Share: 20 * share.Percent}, facts())
+func ExampleMakePlan() {
+	plan, err := intent.MakePlan(intent.Shift{Service: "lookup", From: "a", To: "b", Share: 20 * share.Percent}, facts())
 	if err != nil {
 		fmt.Println(err)
 		return
@@ -87,7 +87,7 @@
 			if c.change != nil {
 				c.change(&f)
 			}
-			_, err := intent.Make(c.in, f)
+			_, err := intent.MakePlan(c.in, f)
 			var refusal *intent.Refusal
 			if !errors.As(err, &refusal) || refusal.Reason != c.want {
 				t.Fatalf("got %v", err)
@@ -97,7 +97,7 @@
 }
 
 func TestPlanIsRejectedAfterAnotherEdit(t *testing.T) {
-	plan, err := intent.Make(intent.Cap{Limit: 10 * share.Percent}, facts())
+	plan, err := intent.MakePlan(intent.Cap{Limit: 10 * share.Percent}, facts())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -105,7 +105,7 @@
 	if err != nil || len(first.Caps) != 1 {
 		t.Fatal(first, err)
 	}
-	if _, err := intent.Apply(plan, first, now); !errors.Is(err, intent.ErrPlanAgain) {
+	if _, err := intent.Apply(plan, first, now); !errors.Is(err, intent.ErrStalePlan) {
 		t.Fatalf("got %v", err)
 	}
 }
--- a/coordination/intent/lifecycle.go
+++ b/coordination/intent/lifecycle.go
@@ -69,6 +69,6 @@
 		return errors.Wrapf(ErrTransition, "move %s, %s: %v", m.ID, e, err)
 	}
 	m.State = spec.MoveState(machine.Current())
-	m.Note(reason, now)
+	m.RecordChange(reason, now)
 	return nil
 }
--- a/coordination/intent/plan.go
+++ b/coordination/intent/plan.go
@@ -16,8 +16,8 @@
 	"github.com/ryehill/ryehill/state/view"
 )
 
-// FreshStatus is the maximum age of a hall status that a plan or a step may use.
-const FreshStatus = 15 * time.Second
+// MaxStatusAge is the maximum age of a hall status that a plan or a step may use.
+const MaxStatusAge = 15 * time.Second
 
 // maxLinkUse is the fraction of a link's limit that a plan may use.
 const maxLinkUse = 90 * share.Percent
@@ -39,8 +39,8 @@
 	ID     string   `json:"id"`
 	Intent Envelope `json:"intent"`
 	// Edit is the edit of the traffic object that the plan was made from.
-	Edit uint64    `json:"edit"`
-	Made time.Time `json:"made"`
+	Edit   uint64    `json:"edit"`
+	MadeAt time.Time `json:"made"`
 	// Changes are the moves to add; Cap and Leaving are the cap and the drained
 	// worker to add.
 	Changes []spec.Move `json:"changes,omitempty"`
@@ -49,8 +49,8 @@
 	Steps   []Step      `json:"steps,omitempty"`
 	Halls   []HallLoad  `json:"halls,omitempty"`
 	Links   []LinkLoad  `json:"links,omitempty"`
-	// Takes is the minimum time until the goal is reached.
-	Takes time.Duration `json:"takes_ns"`
+	// MinDuration is the minimum time until the goal is reached.
+	MinDuration time.Duration `json:"takes_ns"`
 	// PausedBy and StoppedBy list the conditions that would pause, reduce or stop
 	// the move.
 	PausedBy  []string `json:"paused_by,omitempty"`
@@ -97,11 +97,11 @@
 	return &Refusal{Reason: fmt.Sprintf(format, args...)}
 }
 
-// Make returns a plan for an intent. It returns ErrInvalidIntent if the intent
+// MakePlan returns a plan for an intent. It returns ErrInvalidIntent if the intent
 // refers to something that does not exist, and a *Refusal if it cannot be carried
 // out.
-func Make(in Intent, f Facts) (Plan, error) {
-	p := Plan{ID: f.ID, Intent: Envelope{Intent: in}, Edit: f.View.Traffic().Edit, Made: f.Now}
+func MakePlan(in Intent, f Facts) (Plan, error) {
+	p := Plan{ID: f.ID, Intent: Envelope{Intent: in}, Edit: f.View.Traffic().Edit, MadeAt: f.Now}
 	var err error
 	switch in := in.(type) {
 	case Shift:
@@ -113,7 +113,7 @@
 	case Cap:
 		err = p.planCap(in, f)
 	default:
-		err = errors.Wrap(ErrIntent, "missing or unsupported intent")
+		err = errors.Wrap(ErrInvalidIntent, "missing or unsupported intent")
 	}
 	return p, err
 }
@@ -127,18 +127,18 @@
 		in.Step = DefaultShiftStep
 	}
 	if in.Share == 0 || limit == 0 {
-		return errors.Wrap(ErrIntent, "share and cap must be above 0%")
+		return errors.Wrap(ErrInvalidIntent, "share and cap must be above 0%")
 	}
 	if _, ok := f.View.Service(in.Service); !ok {
-		return errors.Wrapf(ErrIntent, "service %q is unknown", in.Service)
+		return errors.Wrapf(ErrInvalidIntent, "service %q is unknown", in.Service)
 	}
 	for _, hall := range []string{in.From, in.To} {
 		if f.View.Fleet().Region(hall) == "" {
-			return errors.Wrapf(ErrIntent, "hall %q is unknown", hall)
+			return errors.Wrapf(ErrInvalidIntent, "hall %q is unknown", hall)
 		}
 	}
 	if in.From == in.To {
-		return errors.Wrap(ErrIntent, "from and to are the same hall")
+		return errors.Wrap(ErrInvalidIntent, "from and to are the same hall")
 	}
 	if err := p.checkConflicts(f, in.Service, in.From, in.To); err != nil {
 		return err
@@ -162,7 +162,7 @@
 		if m.Service != service || m.State == spec.MoveStopped {
 			continue
 		}
-		if m.From == to && m.Effective() > 0 {
+		if m.From == to && m.EffectiveShare() > 0 {
 			return refuse("move %s already takes %s of %s out of hall %s", m.ID, m.Share, service, to)
 		}
 		if m.From == from && m.Drain {
@@ -174,7 +174,7 @@
 
 func (p *Plan) planDrainHall(in DrainHall, f Facts) error {
 	if f.View.Fleet().Region(in.Hall) == "" {
-		return errors.Wrapf(ErrIntent, "hall %q is unknown", in.Hall)
+		return errors.Wrapf(ErrInvalidIntent, "hall %q is unknown", in.Hall)
 	}
 	if in.Step == 0 {
 		in.Step = DefaultDrainStep
@@ -229,7 +229,7 @@
 			continue
 		}
 		status, ok := f.Halls[h.Name]
-		if !ok || status.Age(f.Now) > FreshStatus {
+		if !ok || status.Age(f.Now) > MaxStatusAge {
 			continue
 		}
 		spare := spareSlots(status.Services[service], f.View.Fleet().Headroom())
@@ -263,24 +263,24 @@
 			if w.ID != in.Upstream {
 				continue
 			}
-			if f.View.Leaving(w.ID) {
+			if f.View.IsLeaving(w.ID) {
 				return refuse("upstream %s is drained already", w.ID)
 			}
 			p.Leaving = w.ID
 			return p.predictWorker(f, s, w)
 		}
 	}
-	return errors.Wrapf(ErrIntent, "upstream %q is unknown", in.Upstream)
+	return errors.Wrapf(ErrInvalidIntent, "upstream %q is unknown", in.Upstream)
 }
 
 func (p *Plan) planCap(in Cap, f Facts) error {
 	if in.Service != "" {
 		if _, ok := f.View.Service(in.Service); !ok {
-			return errors.Wrapf(ErrIntent, "service %q is unknown", in.Service)
+			return errors.Wrapf(ErrInvalidIntent, "service %q is unknown", in.Service)
 		}
 	}
 	if in.From != "" && f.View.Fleet().Region(in.From) == "" {
-		return errors.Wrapf(ErrIntent, "hall %q is unknown", in.From)
+		return errors.Wrapf(ErrInvalidIntent, "hall %q is unknown", in.From)
 	}
 	p.Cap = &spec.Cap{ID: f.ID, Service: in.Service, From: in.From, Limit: in.Limit}
 	for _, m := range f.View.Traffic().Moves {
--- a/coordination/intent/predict.go
+++ b/coordination/intent/predict.go
@@ -23,7 +23,7 @@
 	p.planSteps(f)
 	fleet := f.View.Fleet()
 	p.PausedBy = []string{
-		fmt.Sprintf("a hall's status older than %s", FreshStatus),
+		fmt.Sprintf("a hall's status older than %s", MaxStatusAge),
 		fmt.Sprintf("a target with less than %s of its usable slots free", fleet.Headroom()),
 		"requests that wait for a slot or are refused at a target",
 		"the platform being away: no step is taken until it answers",
@@ -37,8 +37,8 @@
 
 func (p *Plan) predictMove(f Facts, m spec.Move) error {
 	source, ok := f.Halls[m.From]
-	if !ok || source.Age(f.Now) > FreshStatus {
-		return refuse("hall %s has sent no status within %s, so the load cannot be predicted", m.From, FreshStatus)
+	if !ok || source.Age(f.Now) > MaxStatusAge {
+		return refuse("hall %s has sent no status within %s, so the load cannot be predicted", m.From, MaxStatusAge)
 	}
 	s := source.Services[m.Service]
 	p.Halls = append(p.Halls, hallLoad(source, m.Service, f.Now, -s.Busy*fraction(m.Goal)))
@@ -57,8 +57,8 @@
 
 func (p *Plan) predictTarget(f Facts, m spec.Move, hall string, source load.ServiceStatus, targetShare float64) error {
 	target, ok := f.Halls[hall]
-	if !ok || target.Age(f.Now) > FreshStatus {
-		return refuse("hall %s has sent no status within %s, so its headroom is unknown", hall, FreshStatus)
+	if !ok || target.Age(f.Now) > MaxStatusAge {
+		return refuse("hall %s has sent no status within %s, so its headroom is unknown", hall, MaxStatusAge)
 	}
 	added := source.Busy * targetShare
 	l := hallLoad(target, m.Service, f.Now, added)
@@ -94,8 +94,8 @@
 
 func (p *Plan) predictWorker(f Facts, s *spec.Service, w spec.Worker) error {
 	status, ok := f.Halls[w.Hall]
-	if !ok || status.Age(f.Now) > FreshStatus {
-		return refuse("hall %s has sent no status within %s, so its headroom is unknown", w.Hall, FreshStatus)
+	if !ok || status.Age(f.Now) > MaxStatusAge {
+		return refuse("hall %s has sent no status within %s, so its headroom is unknown", w.Hall, MaxStatusAge)
 	}
 	l := hallLoad(status, s.Name, f.Now, 0)
 	l.Usable -= w.Slots
@@ -124,7 +124,7 @@
 	interval := f.View.Fleet().Interval()
 	longest := 0
 	for _, m := range p.Changes {
-		steps := StepsTo(m.Goal, m.Step)
+		steps := StepShares(m.Goal, m.Step)
 		if len(steps) <= longest {
 			continue
 		}
@@ -134,11 +134,11 @@
 			p.Steps = append(p.Steps, Step{Number: i + 1, Share: s, After: time.Duration(i) * interval})
 		}
 	}
-	p.Takes = time.Duration(longest) * interval
+	p.MinDuration = time.Duration(longest) * interval
 }
 
-// StepsTo returns the shares that a move passes through on the way to its goal.
-func StepsTo(goal, step share.PPM) []share.PPM {
+// StepShares returns the shares that a move passes through on the way to its goal.
+func StepShares(goal, step share.PPM) []share.PPM {
 	var steps []share.PPM
 	for s := share.PPM(0); s < goal; {
 		s = min(s+max(step, 1), goal)
--- a/coordination/membership/membership.go
+++ b/coordination/membership/membership.go
@@ -51,13 +51,13 @@
 const (
 	// ProbeInterval is the time between two probes by a VM.
 	ProbeInterval = time.Second
-	// SuspectFor is how long a suspect VM has to refute the suspicion.
-	SuspectFor = 3 * time.Second
-	// RetryGone is how often a VM that is gone but still listed is probed.
-	RetryGone = 5 * time.Second
-	// PauseLimit is the time between two ticks beyond which a VM must assume that
+	// SuspectTimeout is how long a suspect VM has to refute the suspicion.
+	SuspectTimeout = 3 * time.Second
+	// GoneProbeInterval is how often a VM that is gone but still listed is probed.
+	GoneProbeInterval = 5 * time.Second
+	// MaxTickGap is the time between two ticks beyond which a VM must assume that
 	// it was frozen and that others have taken over its work.
-	PauseLimit = SuspectFor / 2
+	MaxTickGap = SuspectTimeout / 2
 	// retransmitFactor scales how often an update is sent, with the base-2
 	// logarithm of the number of members.
 	retransmitFactor = 3
@@ -193,9 +193,9 @@
 	}
 }
 
-// Heard applies updates received from a peer. An update that gives the local VM a
+// ApplyUpdates applies updates received from a peer. An update that gives the local VM a
 // later state than its own is refuted with a higher incarnation.
-func (t *Table) Heard(updates []Member) {
+func (t *Table) ApplyUpdates(updates []Member) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	changed := false
@@ -249,8 +249,8 @@
 	return true
 }
 
-// Failed records that a VM did not answer a probe.
-func (t *Table) Failed(id string) {
+// ProbeFailed records that a VM did not answer a probe.
+func (t *Table) ProbeFailed(id string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	r, ok := t.members[id]
@@ -270,13 +270,13 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	now := t.cfg.Now()
-	frozen = now.Sub(t.lastTick) > PauseLimit
+	frozen = now.Sub(t.lastTick) > MaxTickGap
 	t.lastTick = now
 	for _, r := range t.members {
 		if r.State != StateSuspect && r.State != StateLeaving {
 			continue
 		}
-		if r.State == StateSuspect && now.Sub(r.stateSince) >= SuspectFor && !frozen {
+		if r.State == StateSuspect && now.Sub(r.stateSince) >= SuspectTimeout && !frozen {
 			r.State = StateGone
 			r.stateSince = now
 			r.transmissions = 0
@@ -290,9 +290,9 @@
 	return frozen
 }
 
-// Probes returns the members to probe now: the next one on the ring, and from time
+// NextProbes returns the members to probe now: the next one on the ring, and from time
 // to time one that is gone.
-func (t *Table) Probes() []Member {
+func (t *Table) NextProbes() []Member {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	now := t.cfg.Now()
@@ -302,7 +302,7 @@
 		probes = append(probes, t.members[targets[t.probeIndex%len(targets)]].Member)
 	}
 	for id, r := range t.members {
-		if t.onRing(r.Member) && r.State == StateGone && t.listed[id] && now.Sub(r.lastProbe) >= RetryGone {
+		if t.onRing(r.Member) && r.State == StateGone && t.listed[id] && now.Sub(r.lastProbe) >= GoneProbeInterval {
 			r.lastProbe = now
 			probes = append(probes, r.Member)
 			break
@@ -314,8 +314,8 @@
 // onRing reports whether a member is on the local VM's ring.
 func (t *Table) onRing(m Member) bool { return t.cfg.AcrossHalls || m.Hall == t.self.Hall }
 
-// Listed returns the VMs in the platform's list, in no particular order.
-func (t *Table) Listed() []Member {
+// ListedMembers returns the VMs in the platform's list, in no particular order.
+func (t *Table) ListedMembers() []Member {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	listed := make([]Member, 0, len(t.listed))
@@ -329,9 +329,9 @@
 	return listed
 }
 
-// News returns the updates to send to a peer: the local record, the peer's own
+// Updates returns the updates to send to a peer: the local record, the peer's own
 // record if it is not live, recent changes with sends left, and repeated records.
-func (t *Table) News(peer string) []Member {
+func (t *Table) Updates(peer string) []Member {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	updates := []Member{t.self}
@@ -384,9 +384,9 @@
 	return r.Member, true
 }
 
-// Hall returns the usable VMs of a hall, ordered by id. The local VM is included in
+// UsableInHall returns the usable VMs of a hall, ordered by id. The local VM is included in
 // its own hall unless it is leaving.
-func (t *Table) Hall(hall string) []Member {
+func (t *Table) UsableInHall(hall string) []Member {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	var members []Member
@@ -402,9 +402,9 @@
 	return members
 }
 
-// All returns every known VM except the local one, ordered by id. The caller must
+// Others returns every known VM except the local one, ordered by id. The caller must
 // not modify the slice.
-func (t *Table) All() []Member {
+func (t *Table) Others() []Member {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return slices.Clip(t.sortedMembers())
@@ -417,8 +417,8 @@
 	return len(t.members)
 }
 
-// ListedLen returns the number of VMs in the platform's list.
-func (t *Table) ListedLen() int {
+// ListedCount returns the number of VMs in the platform's list.
+func (t *Table) ListedCount() int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return len(t.listed)
--- a/coordination/membership/membership_test.go
+++ b/coordination/membership/membership_test.go
@@ -53,15 +53,15 @@
 			continue
 		}
 		table.Tick()
-		for _, m := range table.Probes() {
+		for _, m := range table.NextProbes() {
 			h.probes++
 			other, ok := h.tables[m.ID]
 			if !ok || h.frozen[m.ID] || h.partitioned(id, m.ID) {
-				table.Failed(m.ID)
+				table.ProbeFailed(m.ID)
 				continue
 			}
-			other.Heard(table.News(m.ID))
-			table.Heard(other.News(id))
+			other.ApplyUpdates(table.Updates(m.ID))
+			table.ApplyUpdates(other.Updates(id))
 		}
 	}
 }
@@ -80,7 +80,7 @@
 			continue
 		}
 		found := make(map[string]bool)
-		for _, m := range table.Hall("a") {
+		for _, m := range table.UsableInHall("a") {
 			found[m.ID] = true
 		}
 		for other := range h.tables {
@@ -162,7 +162,7 @@
 	inFirstHalf := func(id string) bool { return id < "vm3" }
 	h.partitioned = func(a, b string) bool { return inFirstHalf(a) != inFirstHalf(b) }
 	h.runRounds(20)
-	for _, m := range h.tables["vm0"].Hall("a") {
+	for _, m := range h.tables["vm0"].UsableInHall("a") {
 		if !inFirstHalf(m.ID) {
 			t.Fatalf("vm0 considers %s of the other partition usable", m.ID)
 		}
@@ -190,7 +190,7 @@
 		applyInOrder := func(order []int) membership.Member {
 			table := newHall(1).tables["vm0"]
 			for _, i := range order {
-				table.Heard([]membership.Member{updates[i]})
+				table.ApplyUpdates([]membership.Member{updates[i]})
 			}
 			m, _ := table.Member("vm9")
 			return m
@@ -220,10 +220,10 @@
 func TestConfiguredPeersSurviveEmptyList(t *testing.T) {
 	table := newHall(1).tables["vm0"]
 	seeded := membership.New(membership.Config{Now: time.Now, Self: table.Self()})
-	seeded.Heard([]membership.Member{{VM: spec.VM{ID: "peer", Hall: "a", Peer: "10.0.0.2:1"}}})
+	seeded.ApplyUpdates([]membership.Member{{VM: spec.VM{ID: "peer", Hall: "a", Peer: "10.0.0.2:1"}}})
 	seeded.SetList(spec.VMList{})
 	seeded.Tick()
-	if len(seeded.Probes()) != 1 {
+	if len(seeded.NextProbes()) != 1 {
 		t.Fatal("the configured peer is not probed")
 	}
 }
@@ -236,13 +236,13 @@
 		for i := range members {
 			updates = append(updates, membership.Member{VM: spec.VM{ID: fmt.Sprint("vm", i), Hall: "h"}, Start: 1})
 		}
-		table.Heard(updates)
-		table.All()
+		table.ApplyUpdates(updates)
+		table.Others()
 		return allocatedBytes(func() {
-			if len(table.All()) != members {
+			if len(table.Others()) != members {
 				t.Fatal("members are missing")
 			}
-			table.Probes()
+			table.NextProbes()
 		})
 	}
 	if small, large := bytesPerPoll(100), bytesPerPoll(1600); large > 2*small {
@@ -258,17 +258,17 @@
 		for i := range members {
 			updates = append(updates, membership.Member{VM: spec.VM{ID: fmt.Sprint("vm", i), Hall: "h"}, Start: 1})
 		}
-		table.Heard(updates)
+		table.ApplyUpdates(updates)
 		for range 100 {
-			table.News("vm0") // Use up the sends of the initial updates.
+			table.Updates("vm0") // Use up the sends of the initial updates.
 		}
 		round := uint32(0)
 		return allocatedBytes(func() {
 			round++
 			changed := updates[int(round)%members]
 			changed.Incarnation = round
-			table.Heard([]membership.Member{changed})
-			table.News("vm0")
+			table.ApplyUpdates([]membership.Member{changed})
+			table.Updates("vm0")
 		})
 	}
 	if small, large := bytesPerUpdate(100), bytesPerUpdate(1600); large > 2*small {
--- a/coordination/placement/eligible.go
+++ b/coordination/placement/eligible.go
@@ -64,7 +64,7 @@
 		return false
 	}
 	for _, m := range s.Traffic.Moves(service, hall) {
-		if m.Settled() {
+		if m.DrainCompleted() {
 			return true
 		}
 	}
--- a/coordination/steer/steer.go
+++ b/coordination/steer/steer.go
@@ -145,7 +145,7 @@
 func (s *Steerer) EvaluateAt(v *view.View, service, hall string, subject share.HashKey) Candidate {
 	chosen := Candidate{rule: RuleHome, caps: s.countForCaps(v, service, hall)}
 	for _, m := range v.Moves(service, hall) {
-		position, effective := share.Position(m.ID, subject), m.Effective()
+		position, effective := share.Position(m.ID, subject), m.EffectiveShare()
 		a := s.account("move/"+m.ID, effective)
 		a.AddRequest()
 		if chosen.move != nil || position >= min(spareShareFactor*effective, share.Whole) {
--- a/coordination/traffic/traffic_test.go
+++ b/coordination/traffic/traffic_test.go
@@ -76,7 +76,7 @@
 	}{
 		"no concurrent write":                  {writes: 1},
 		"one concurrent controller step":       {before: []func(*memoryStore){step}, writes: 2},
-		"concurrent operator change":           {before: []func(*memoryStore){operator}, wantErr: intent.ErrPlanAgain, writes: 1},
+		"concurrent operator change":           {before: []func(*memoryStore){operator}, wantErr: intent.ErrStalePlan, writes: 1},
 		"a controller step before every write": {before: []func(*memoryStore){step, step, step, step}, wantErr: traffic.ErrConflict, writes: 4},
 		"the outcome is unknown":               {writeErr: traffic.ErrUnresolved, wantErr: traffic.ErrUnresolved, writes: 1},
 	}
--- a/examples/plan/main.go
+++ b/examples/plan/main.go
@@ -17,7 +17,7 @@
 
 func main() {
 	config, err := view.Compile(1, []spec.Object{
-		spec.Encode(spec.Key{Kind: spec.KindFleet, Name: spec.MainName}, &spec.Fleet{
+		spec.Encode(spec.Key{Kind: spec.KindFleet, Name: spec.SingletonName}, &spec.Fleet{
 			Halls: []spec.Hall{{Name: "a", Region: "east"}, {Name: "b", Region: "west"}},
 		}),
 		spec.Encode(spec.Key{Kind: spec.KindService, Name: "lookup"}, &spec.Service{}),
@@ -34,7 +34,7 @@
 		"a": hall("a", 20, 16), "b": hall("b", 20, 10),
 	}}
 	for _, part := range []share.PPM{20 * share.Percent, 80 * share.Percent} {
-		plan, err := intent.Make(intent.Shift{Service: "lookup", From: "a", To: "b", Share: part}, facts)
+		plan, err := intent.MakePlan(intent.Shift{Service: "lookup", From: "a", To: "b", Share: part}, facts)
 		if err != nil {
 			fmt.Println(err)
 			continue
--- a/internal/daemon/control.go
+++ b/internal/daemon/control.go
@@ -59,12 +59,12 @@
 // candidate reports whether this VM is among the few that ask for the lease.
 func (d *Daemon) candidate() bool {
 	all := []string{d.cfg.VM}
-	for _, m := range d.members.All() {
+	for _, m := range d.members.Others() {
 		if m.Usable() {
 			all = append(all, m.ID)
 		}
 	}
-	return contains(assign.Top("controller", all, controller.Candidates), d.cfg.VM)
+	return contains(assign.Top("controller", all, controller.MaxCandidates), d.cfg.VM)
 }
 
 func (d *Daemon) operation(what string) string {
@@ -76,13 +76,13 @@
 // that is due.
 func (d *Daemon) holdLease(ctx context.Context) bool {
 	now := d.now()
-	if now.Before(d.lease.good.Add(-controller.LeaseTerm + controller.LeaseRenew)) {
+	if now.Before(d.lease.good.Add(-controller.LeaseDuration + controller.LeaseRenewInterval)) {
 		return true
 	}
 	if now.Before(d.lease.good) && d.writeLease(ctx, platform.IfVersion(d.lease.version), now) {
 		return true
 	}
-	if now.Sub(d.lease.looked) < controller.LeaseRenew {
+	if now.Sub(d.lease.looked) < controller.LeaseRenewInterval {
 		return false
 	}
 	d.lease.looked = now
@@ -95,7 +95,7 @@
 	if err != nil || json.Unmarshal(o.Spec, &held) != nil {
 		return false
 	}
-	if !d.observer.Lapsed(held, now) {
+	if !d.observer.Expired(held, now) {
 		return false
 	}
 	d.lease.renewal = held.Renewal
@@ -119,7 +119,7 @@
 	}
 	d.lease.version = version
 	d.lease.renewal++
-	d.lease.good = asked.Add(controller.LeaseTerm)
+	d.lease.good = asked.Add(controller.LeaseDuration)
 	return true
 }
 
@@ -159,7 +159,7 @@
 	}
 	for _, o := range plans {
 		var p intent.Plan
-		if json.Unmarshal(o.Spec, &p) != nil || now.Sub(p.Made) > planLife {
+		if json.Unmarshal(o.Spec, &p) != nil || now.Sub(p.MadeAt) > planLife {
 			_ = d.platform.Delete(ctx, o.Key)
 		}
 	}
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -86,7 +86,7 @@
 	pollNow   chan struct{}
 	lastTable uint64
 	lease     leaseState
-	observer  controller.Observer
+	observer  controller.LeaseObserver
 }
 
 // New checks the settings and opens the listeners. It returns ErrConfig or the
@@ -105,7 +105,7 @@
 		self:      peer.Identity{Fleet: cfg.Fleet, Hall: cfg.Hall, VM: cfg.VM, Start: uint64(start.UnixMicro())},
 		store:     spread.New(),
 		steerer:   steer.New(steer.Config{Hall: cfg.Hall}),
-		pools:     capacity.NewPools(capacity.Config{Now: now, Policy: cfg.Choice, MinHeadroom: spec.DefaultLeastHeadroom}),
+		pools:     capacity.NewPools(capacity.Config{Now: now, Policy: cfg.Choice, MinHeadroom: spec.DefaultMinHeadroom}),
 		holder:    capacity.NewGrantHolder(now),
 		links:     link.New(link.Config{Now: now}),
 		decisions: decision.New(decision.Config{}),
@@ -181,7 +181,7 @@
 		}
 		members = append(members, membership.Member{VM: spec.VM{ID: vm, Hall: d.cfg.Hall, Entry: address, Peer: address, State: spec.VMLive}})
 	}
-	d.members.Heard(members)
+	d.members.ApplyUpdates(members)
 	return nil
 }
 
--- a/internal/daemon/grants.go
+++ b/internal/daemon/grants.go
@@ -72,7 +72,7 @@
 
 // borrow asks the lenders of a hall for their part of what is wanted.
 func (d *Daemon) borrow(ctx context.Context, hall string, wanted map[string]uint32) {
-	lenders := assign.Top("lender/"+d.cfg.VM, ids(d.members.Hall(hall)), lendersPerHall)
+	lenders := assign.Top("lender/"+d.cfg.VM, ids(d.members.UsableInHall(hall)), lendersPerHall)
 	if len(lenders) == 0 {
 		return
 	}
--- a/internal/daemon/greet.go
+++ b/internal/daemon/greet.go
@@ -22,7 +22,7 @@
 	}
 	d.members.SetList(d.store.VMs())
 	var wg sync.WaitGroup
-	for _, m := range d.members.Hall(d.cfg.Hall) {
+	for _, m := range d.members.UsableInHall(d.cfg.Hall) {
 		if m.ID != d.cfg.VM {
 			wg.Go(func() { d.probe(ctx, m, probeTimeout) })
 		}
@@ -34,7 +34,7 @@
 
 // owningVMs returns the VMs of the hall that its upstreams are divided among.
 func (d *Daemon) owningVMs() []string {
-	vms := ids(d.members.Hall(d.cfg.Hall))
+	vms := ids(d.members.UsableInHall(d.cfg.Hall))
 	if !d.greeted.Load() {
 		return slices.DeleteFunc(vms, func(id string) bool { return id == d.cfg.VM })
 	}
--- a/internal/daemon/pools.go
+++ b/internal/daemon/pools.go
@@ -75,7 +75,7 @@
 // hallSize counts the VMs that a link is divided among: all that may be alive.
 func (d *Daemon) hallSize() int {
 	size := 1
-	for _, m := range d.members.All() {
+	for _, m := range d.members.Others() {
 		if m.Hall == d.cfg.Hall {
 			size++
 		}
@@ -97,7 +97,7 @@
 	for _, w := range inHall {
 		owner := owners[w.ID]
 		if owner == d.cfg.VM {
-			own := poolWorker(s, w, v.Leaving(w.ID) || contains(leaving, w.ID))
+			own := poolWorker(s, w, v.IsLeaving(w.ID) || contains(leaving, w.ID))
 			own.LeavingStart = d.leavers.start(w.ID)
 			mine = append(mine, own)
 		} else if owner != "" && !contains(others, owner) {
@@ -211,7 +211,7 @@
 			d.metrics.Pool(service, s.InUse, s.Free, s.Lent, s.OldestReport)
 		}
 		states := make(map[string]int)
-		for _, m := range d.members.All() {
+		for _, m := range d.members.Others() {
 			states[m.State.String()]++
 		}
 		for _, state := range []string{"live", "suspect", "leaving", "gone"} {
--- a/internal/daemon/report.go
+++ b/internal/daemon/report.go
@@ -45,7 +45,7 @@
 		if !d.greeted.Load() {
 			return // It may take itself for the only VM of the hall.
 		}
-		members := d.members.Hall(d.cfg.Hall)
+		members := d.members.UsableInHall(d.cfg.Hall)
 		if !contains(assign.Top("reporter/"+d.cfg.Hall, ids(members), 1), d.cfg.VM) {
 			return
 		}
--- a/internal/daemon/spread.go
+++ b/internal/daemon/spread.go
@@ -66,7 +66,7 @@
 // watchersOf returns the VMs of a hall that watch the platform. Every VM works
 // this out alone; two that differ for a moment only watch once too often.
 func (d *Daemon) watchersOf(hall string) []string {
-	return assign.Top("watcher/"+hall, ids(d.members.Hall(hall)), watchersPerHall)
+	return assign.Top("watcher/"+hall, ids(d.members.UsableInHall(hall)), watchersPerHall)
 }
 
 func (d *Daemon) isWatcher() bool { return contains(d.watchersOf(d.cfg.Hall), d.cfg.VM) }
@@ -144,7 +144,7 @@
 	if !d.store.Apply(c) || len(c.Objects) == 0 {
 		return
 	}
-	peers := d.members.Hall(d.cfg.Hall)
+	peers := d.members.UsableInHall(d.cfg.Hall)
 	rand.Shuffle(len(peers), func(i, j int) { peers[i], peers[j] = peers[j], peers[i] })
 	told := 0
 	for _, m := range peers {
@@ -163,7 +163,7 @@
 			d.log.Info("membership: this VM was frozen; its terms are void")
 			d.signal(d.pollNow)
 		}
-		for _, m := range d.members.Probes() {
+		for _, m := range d.members.NextProbes() {
 			go d.probe(ctx, m, probeTimeout)
 		}
 		number++
@@ -177,7 +177,7 @@
 // passes between halls also while the platform is away.
 func (d *Daemon) probeAcross(ctx context.Context) {
 	halls := make(map[string]bool)
-	for _, m := range d.members.All() {
+	for _, m := range d.members.Others() {
 		if m.Hall != d.cfg.Hall && m.Usable() {
 			halls[m.Hall] = true
 		}
@@ -202,7 +202,7 @@
 	d.metrics.PeerCall("probe", err)
 	if err != nil {
 		if m.Hall == d.cfg.Hall {
-			d.members.Failed(m.ID)
+			d.members.ProbeFailed(m.ID)
 		}
 		return
 	}
@@ -214,7 +214,7 @@
 func (d *Daemon) probeMessage(to, hall string) *peerpb.Probe {
 	revision, list := d.store.Revisions()
 	p := &peerpb.Probe{Revision: revision, VmList: list}
-	for _, m := range d.members.News(to) {
+	for _, m := range d.members.Updates(to) {
 		p.News = append(p.News, peer.EncodeMember(m))
 	}
 	if hall == d.cfg.Hall {
@@ -239,7 +239,7 @@
 // hear takes in a probe or the reply to one.
 func (d *Daemon) hear(from string, p *peerpb.Probe) {
 	d.heard.Store(d.now().UnixMilli())
-	d.members.Heard(peer.DecodeMembers(p.GetNews()))
+	d.members.ApplyUpdates(peer.DecodeMembers(p.GetNews()))
 	now := d.now()
 	for service, free := range p.GetFree() {
 		if _, ok := d.view.Load().Service(service); ok {
@@ -309,7 +309,7 @@
 	d.members.SetList(d.store.VMs())
 	old := d.view.Load()
 	if newest == d.lastTable && newest != 0 {
-		d.view.Store(old.AtGeneration(generation))
+		d.view.Store(old.WithGeneration(generation))
 		return
 	}
 	d.lastTable = newest
--- a/internal/daemon/stop.go
+++ b/internal/daemon/stop.go
@@ -18,7 +18,7 @@
 func (d *Daemon) stop(ctx context.Context) {
 	d.enter("leave")
 	d.members.Leave()
-	for _, m := range d.members.All() {
+	for _, m := range d.members.Others() {
 		if m.Hall == d.cfg.Hall && m.Usable() {
 			go d.probe(ctx, m, probeTimeout)
 		}
--- a/internal/daemon/traffic.go
+++ b/internal/daemon/traffic.go
@@ -24,7 +24,7 @@
 	kindStatus spec.Kind = "status"
 )
 
-var trafficKey = spec.Key{Kind: spec.KindTraffic, Name: spec.MainName}
+var trafficKey = spec.Key{Kind: spec.KindTraffic, Name: spec.SingletonName}
 
 // trafficStore keeps the traffic object on the platform. It implements
 // traffic.Store.
--- a/internal/fleet/plan.go
+++ b/internal/fleet/plan.go
@@ -134,7 +134,7 @@
 			}
 		}
 	}
-	return spec.Encode(spec.Key{Kind: spec.KindFleet, Name: spec.MainName}, object)
+	return spec.Encode(spec.Key{Kind: spec.KindFleet, Name: spec.SingletonName}, object)
 }
 
 func (p *Plan) blocksObject() spec.Object {
--- a/internal/gateway/compile.go
+++ b/internal/gateway/compile.go
@@ -94,12 +94,12 @@
 
 func (g *Gateway) compile(now time.Time) {
 	c := &g.compiler
-	config := g.replica.Content(g.cfg.Codec.ConfigKind())
+	config := g.replica.LastChanged(g.cfg.Codec.ConfigKind())
 	g.compileMembers(c)
 	g.compileQuarantine()
 	g.compileRoutes(c)
-	_, workersKnown := g.replica.At(g.cfg.Codec.WorkerKind())
-	_, closedKnown := g.replica.At(g.cfg.Codec.ClosedKind())
+	_, workersKnown := g.replica.CompleteUpTo(g.cfg.Codec.WorkerKind())
+	_, closedKnown := g.replica.CompleteUpTo(g.cfg.Codec.ClosedKind())
 	if c.routes == nil || !workersKnown || !closedKnown {
 		return
 	}
@@ -171,7 +171,7 @@
 // read changes nothing.
 func (g *Gateway) compileTraffic(c *compiler) {
 	for _, o := range g.replica.Objects(g.cfg.Codec.TrafficKind()) {
-		if o.Name != spec.MainName || o.Revision <= c.trafficVersion {
+		if o.Name != spec.SingletonName || o.Revision <= c.trafficVersion {
 			continue
 		}
 		t, _, err := decodeTraffic(o)
@@ -188,7 +188,7 @@
 // end. The store took that after the moment up to which it is known to have said
 // otherwise.
 func (g *Gateway) ending(kind string, now time.Time) worker.DrainWindow {
-	return worker.DrainWindow{ObservedAt: now, Until: g.replica.TakeChangedFrom(kind).Add(g.leaveWithin())}
+	return worker.DrainWindow{ObservedAt: now, Until: g.replica.TakeEarliestChange(kind).Add(g.leaveWithin())}
 }
 
 // compileWorkers returns the workers as the replica has them. Those that have not
@@ -213,7 +213,7 @@
 			w = changed
 		}
 		next[o.Name] = w
-		if c.traffic != nil && c.traffic.Leaving(w.ID) {
+		if c.traffic != nil && c.traffic.IsLeaving(w.ID) {
 			drained := *w // By an operator.
 			drained.Leaving, drained.DrainWindow = true, worker.DrainWindow{}
 			w = &drained
@@ -245,7 +245,7 @@
 	}
 	region, ok := g.cfg.Halls[w.Hall]
 	if !ok {
-		return nil, object.NewFault(object.ReasonHall, "hall %.64q is unknown", w.Hall)
+		return nil, object.NewInvalidError(object.ReasonHall, "hall %.64q is unknown", w.Hall)
 	}
 	w.Region = region
 	if before != nil && w.Start != before.Start {
--- a/internal/gateway/compile_bench_test.go
+++ b/internal/gateway/compile_bench_test.go
@@ -14,11 +14,11 @@
 func BenchmarkCompile(b *testing.B) {
 	d := workersDelta(1617)
 	compile := gateway.Compiler(codec{}, d)
-	at := d.At
+	at := d.UpTo
 	for b.Loop() {
 		o := d.Events[int(at)%len(d.Events)].Object
 		at++
 		o.Revision = at
-		compile(object.Delta{Kind: d.Kind, Since: at - 1, At: at, Events: []object.Event{{Object: o}}})
+		compile(object.Delta{Kind: d.Kind, Since: at - 1, UpTo: at, Events: []object.Event{{Object: o}}})
 	}
 }
--- a/internal/gateway/copies_test.go
+++ b/internal/gateway/copies_test.go
@@ -100,7 +100,7 @@
 	before := v.door.count("list " + kindWorkers)
 	at := f.store.atRevision()
 	v.Hear(object.Delta{
-		Kind: kindWorkers, Listed: true, At: at + 1, Events: []object.Event{},
+		Kind: kindWorkers, Listed: true, UpTo: at + 1, Events: []object.Event{},
 		Listing: []object.Ref{{Name: "never-heard-of", Revision: at}},
 	})
 	f.within(time.Second, "the list", func() bool { return v.door.count("list "+kindWorkers) > before })
--- a/internal/gateway/directory.go
+++ b/internal/gateway/directory.go
@@ -45,7 +45,7 @@
 	if g.Ready() {
 		live = append(live, g.members.Self())
 	}
-	for _, m := range g.members.All() {
+	for _, m := range g.members.Others() {
 		if m.State == membership.StateLive && m.Start != 0 {
 			live = append(live, m)
 		}
@@ -60,7 +60,7 @@
 
 // settled reports whether this VM has had the time to hear of the others.
 func (g *Gateway) settled() bool {
-	_, known := g.replica.At(g.cfg.Codec.MemberKind())
+	_, known := g.replica.CompleteUpTo(g.cfg.Codec.MemberKind())
 	return known && clock.Since(g.begun()) >= settleTime
 }
 
@@ -75,7 +75,7 @@
 			ids = append(ids, m.ID)
 		}
 	}
-	for _, m := range g.members.Listed() {
+	for _, m := range g.members.ListedMembers() {
 		if g.cfg.Halls[m.Hall] == region {
 			listed++
 		}
--- a/internal/gateway/export_test.go
+++ b/internal/gateway/export_test.go
@@ -189,7 +189,7 @@
 func (g *Gateway) ListedVMs() int { return g.listedVMs() }
 
 // Confirmed returns when the store last confirmed what is known of a kind.
-func (g *Gateway) Confirmed(kind string) time.Time { return g.replica.Confirmed(kind) }
+func (g *Gateway) Confirmed(kind string) time.Time { return g.replica.ConfirmedAt(kind) }
 
 // HearListedVMs is hearListedVMs, for tests.
 func (g *Gateway) HearListedVMs(n uint32) { g.hearListedVMs(n) }
--- a/internal/gateway/fake_test.go
+++ b/internal/gateway/fake_test.go
@@ -124,7 +124,7 @@
 	defer s.mu.Unlock()
 	s.revision++
 	delete(s.kinds[kind], name)
-	s.log[kind] = append(s.log[kind], object.Event{Object: object.Object{Name: name, Revision: s.revision}, Gone: true})
+	s.log[kind] = append(s.log[kind], object.Event{Object: object.Object{Name: name, Revision: s.revision}, Deleted: true})
 	s.wake()
 }
 
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -154,7 +154,7 @@
 	g.placer = placement.New(placement.Config{
 		Hall: cfg.Hall, Region: g.region(), Loads: g.loads, ColdLimiter: cold, Steerer: steer.New(steer.Config{Hall: cfg.Hall}), Now: clock.Now,
 		Holders: g.balancer.table, Demand: g.balancer.meter, Permits: g.permits,
-		Confirmed: func() time.Time { return g.replica.Confirmed(cfg.Codec.WorkerKind()) },
+		Confirmed: func() time.Time { return g.replica.ConfirmedAt(cfg.Codec.WorkerKind()) },
 	})
 	g.quotas = newQuotas(g)
 	g.ingress = ingress.New(ingress.Config{
@@ -196,7 +196,7 @@
 func (g *Gateway) age() time.Duration {
 	oldest := time.Duration(0)
 	for _, kind := range g.watchedKinds() {
-		oldest = max(oldest, clock.Since(g.replica.Confirmed(kind)))
+		oldest = max(oldest, clock.Since(g.replica.ConfirmedAt(kind)))
 	}
 	return oldest
 }
--- a/internal/gateway/halls.go
+++ b/internal/gateway/halls.go
@@ -26,7 +26,7 @@
 // force here.
 func (g *Gateway) trafficVersion() uint64 {
 	for _, o := range g.replica.Objects(g.cfg.Codec.TrafficKind()) {
-		if o.Name == spec.MainName {
+		if o.Name == spec.SingletonName {
 			return o.Revision
 		}
 	}
@@ -149,7 +149,7 @@
 	for hall, region := range g.cfg.Halls {
 		fleet.Halls = append(fleet.Halls, spec.Hall{Name: hall, Region: region})
 	}
-	objects := []spec.Object{spec.Encode(spec.Key{Kind: spec.KindFleet, Name: spec.MainName}, &fleet)}
+	objects := []spec.Object{spec.Encode(spec.Key{Kind: spec.KindFleet, Name: spec.SingletonName}, &fleet)}
 	if s := g.snapshot.Load(); s != nil {
 		objects = append(objects, serviceObjects(s)...)
 	}
--- a/internal/gateway/keys.go
+++ b/internal/gateway/keys.go
@@ -120,7 +120,7 @@
 
 // configAge returns how long ago the store last confirmed the configuration.
 func (g *Gateway) configAge() time.Duration {
-	return clock.Since(g.replica.Confirmed(g.cfg.Codec.ConfigKind()))
+	return clock.Since(g.replica.ConfirmedAt(g.cfg.Codec.ConfigKind()))
 }
 
 const (
@@ -132,7 +132,7 @@
 
 // awaitCompiled waits until the configuration that is known is in force.
 func (g *Gateway) awaitCompiled() {
-	known := g.replica.Content(g.cfg.Codec.ConfigKind())
+	known := g.replica.LastChanged(g.cfg.Codec.ConfigKind())
 	for begun := clock.Now(); g.compiledConfig.Load() < known && clock.Since(begun) < compileWait; {
 		time.Sleep(compileLook)
 	}
--- a/internal/gateway/knowledge.go
+++ b/internal/gateway/knowledge.go
@@ -84,7 +84,7 @@
 	for ctx.Err() == nil {
 		now := clock.Now()
 		for _, kind := range g.watchedKinds() {
-			if confirmed := g.replica.Confirmed(kind); !confirmed.IsZero() {
+			if confirmed := g.replica.ConfirmedAt(kind); !confirmed.IsZero() {
 				g.tellAge(kind, now.Sub(confirmed))
 			}
 		}
--- a/internal/gateway/lapse.go
+++ b/internal/gateway/lapse.go
@@ -58,7 +58,7 @@
 
 // noteAbsence is to be called before news of workers is taken in.
 func (g *Gateway) noteAbsence(now time.Time) {
-	confirmed := g.replica.Confirmed(g.cfg.Codec.WorkerKind())
+	confirmed := g.replica.ConfirmedAt(g.cfg.Codec.WorkerKind())
 	g.away.note(confirmed, now, g.cfg.StaleAfter+awayMargin)
 }
 
--- a/internal/gateway/lives_test.go
+++ b/internal/gateway/lives_test.go
@@ -23,7 +23,7 @@
 // does not hold for it.
 func TestNewestLifeOfAWorkerIsBelieved(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		compile := gateway.Compiler(codec{}, object.Delta{Kind: kindWorkers, At: 1})
+		compile := gateway.Compiler(codec{}, object.Delta{Kind: kindWorkers, UpTo: 1})
 		newest, leaving, left := uint64(0), false, false
 		for at := uint64(2); at < uint64(rapid.IntRange(3, 20).Draw(t, "writes")); at++ {
 			w := worker.Worker{Service: "s", Hall: "north-b", Start: uint64(rapid.IntRange(1, 4).Draw(t, "start")), Leaving: rapid.Bool().Draw(t, "leaving")}
@@ -35,7 +35,7 @@
 				left = w.Leaving || left && w.Start == newest
 				newest, leaving = w.Start, w.Leaving
 			}
-			set := compile(object.Delta{Kind: kindWorkers, Since: at - 1, At: at, Events: []object.Event{
+			set := compile(object.Delta{Kind: kindWorkers, Since: at - 1, UpTo: at, Events: []object.Event{
 				{Object: object.Object{Name: "w", Revision: at, Spec: raw}},
 			}})
 			got, ok := set.Get("w")
--- a/internal/gateway/operators.go
+++ b/internal/gateway/operators.go
@@ -38,7 +38,7 @@
 	if age := g.age(); age > g.cfg.StaleAfter+awayMargin {
 		s.Platform = "away: not heard of for " + age.Round(time.Millisecond).String()
 	}
-	for _, m := range g.members.All() {
+	for _, m := range g.members.Others() {
 		s.Members = append(s.Members, operator.NewMemberStatus(m))
 	}
 	for _, h := range g.hallStatuses(ctx) {
--- a/internal/gateway/packs.go
+++ b/internal/gateway/packs.go
@@ -50,7 +50,7 @@
 	if !takesPacked || !isLarge(d) {
 		return toDelta(d)
 	}
-	key := packKey{kind: d.Kind, full: d.Full, listed: d.Listed, since: d.Since, at: d.At}
+	key := packKey{kind: d.Kind, full: d.Full, listed: d.Listed, since: d.Since, at: d.UpTo}
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	packed, ok := p.held[key]
@@ -65,7 +65,7 @@
 		}
 		p.held[key] = packed
 	}
-	return &peerpb.Delta{Kind: d.Kind, Full: d.Full, Listed: d.Listed, Since: d.Since, At: d.At, Packed: packed}
+	return &peerpb.Delta{Kind: d.Kind, Full: d.Full, Listed: d.Listed, Since: d.Since, At: d.UpTo, Packed: packed}
 }
 
 // isLarge reports whether a delta takes more bytes than go to all peers at once.
--- a/internal/gateway/packs_test.go
+++ b/internal/gateway/packs_test.go
@@ -21,7 +21,7 @@
 // workersDelta is a delta of some workers as the users' store describes them.
 func workersDelta(n int) object.Delta {
 	random := rand.New(rand.NewPCG(1, 2))
-	d := object.Delta{Kind: kindWorkers, At: uint64(n)}
+	d := object.Delta{Kind: kindWorkers, UpTo: uint64(n)}
 	for i := range n {
 		spec := fmt.Sprintf(`{"service":"lookup","address":"10.2.%d.%d:8045","hall":"north-b","slots":9,"state":"ready","cold":"0ms","sequence":%d}`,
 			random.IntN(250), random.IntN(250), random.IntN(9))
--- a/internal/gateway/peers.go
+++ b/internal/gateway/peers.go
@@ -42,7 +42,7 @@
 		if g.members.Tick() {
 			g.log.Info("members: this VM was frozen")
 		}
-		for _, m := range g.members.Probes() {
+		for _, m := range g.members.NextProbes() {
 			go g.probe(ctx, m)
 		}
 	}
@@ -55,7 +55,7 @@
 	reply, err := g.peers.Call(ctx, peer.Target{VM: m.ID, Address: m.Peer}, message)
 	g.cfg.Metrics.PeerCall("probe", err)
 	if err != nil {
-		g.members.Failed(m.ID)
+		g.members.ProbeFailed(m.ID)
 		return
 	}
 	if p := reply.GetProbe(); p != nil {
@@ -66,9 +66,9 @@
 func (g *Gateway) probeMessage(to string) *peerpb.Probe {
 	p := &peerpb.Probe{Replicas: make(map[string]uint64), Signals: g.toldSignals()}
 	for _, kind := range g.replicatedKinds() {
-		p.Replicas[kind] = g.replica.Content(kind)
+		p.Replicas[kind] = g.replica.LastChanged(kind)
 	}
-	for _, m := range g.members.News(to) {
+	for _, m := range g.members.Updates(to) {
 		p.News = append(p.News, peer.EncodeMember(m))
 	}
 	return p
@@ -77,7 +77,7 @@
 func (g *Gateway) replicaRevisions() map[string]uint64 {
 	revisions := make(map[string]uint64)
 	for _, kind := range g.replicatedKinds() {
-		if at, ok := g.replica.At(kind); ok && !g.replica.Doubted(kind) {
+		if at, ok := g.replica.CompleteUpTo(kind); ok && !g.replica.Inconsistent(kind) {
 			revisions[kind] = at
 		}
 	}
@@ -87,12 +87,12 @@
 // hear takes in a probe or the reply to one, and fetches what the peer has and
 // this VM has not, unless its region's watcher is about to tell it.
 func (g *Gateway) hear(from peer.Target, p *peerpb.Probe) {
-	g.members.Heard(peer.DecodeMembers(p.GetNews()))
+	g.members.ApplyUpdates(peer.DecodeMembers(p.GetNews()))
 	g.hearSignals(from.VM, p.GetSignals())
 	for _, kind := range g.replicatedKinds() {
-		at, known := g.replica.At(kind)
+		at, known := g.replica.CompleteUpTo(kind)
 		theirs := p.GetReplicas()[kind]
-		if !known && theirs > 0 || theirs > at && clock.Since(g.replica.Confirmed(kind)) > watcherLate {
+		if !known && theirs > 0 || theirs > at && clock.Since(g.replica.ConfirmedAt(kind)) > watcherLate {
 			go g.pull(from)
 			return
 		}
@@ -178,24 +178,24 @@
 }
 
 func toDelta(d object.Delta) *peerpb.Delta {
-	out := &peerpb.Delta{Kind: d.Kind, Full: d.Full, Listed: d.Listed, Since: d.Since, At: d.At}
+	out := &peerpb.Delta{Kind: d.Kind, Full: d.Full, Listed: d.Listed, Since: d.Since, At: d.UpTo}
 	for _, ref := range d.Listing {
 		out.Listing = append(out.Listing, &peerpb.ObjectRef{Name: ref.Name, Revision: ref.Revision})
 	}
 	for _, e := range d.Events {
-		out.Events = append(out.Events, &peerpb.ObjectEvent{Name: e.Name, Revision: e.Revision, Gone: e.Gone, Spec: e.Spec})
+		out.Events = append(out.Events, &peerpb.ObjectEvent{Name: e.Name, Revision: e.Revision, Gone: e.Deleted, Spec: e.Spec})
 	}
 	return out
 }
 
 func fromDelta(d *peerpb.Delta) object.Delta {
-	out := object.Delta{Kind: d.GetKind(), Full: d.GetFull(), Listed: d.GetListed(), Since: d.GetSince(), At: d.GetAt()}
+	out := object.Delta{Kind: d.GetKind(), Full: d.GetFull(), Listed: d.GetListed(), Since: d.GetSince(), UpTo: d.GetAt()}
 	for _, ref := range d.GetListing() {
 		out.Listing = append(out.Listing, object.Ref{Name: ref.GetName(), Revision: ref.GetRevision()})
 	}
 	for _, e := range d.GetEvents() {
 		out.Events = append(out.Events, object.Event{
-			Object: object.Object{Name: e.GetName(), Revision: e.GetRevision(), Spec: e.GetSpec()}, Gone: e.GetGone(),
+			Object: object.Object{Name: e.GetName(), Revision: e.GetRevision(), Spec: e.GetSpec()}, Deleted: e.GetGone(),
 		})
 	}
 	return out
--- a/internal/gateway/quarantinestore.go
+++ b/internal/gateway/quarantinestore.go
@@ -32,7 +32,7 @@
 	g.waitForPeers(ctx, kind)
 	var listed time.Time
 	for ; ctx.Err() == nil; g.quarantines.awaitSave(ctx) {
-		_, known := g.replica.At(kind)
+		_, known := g.replica.CompleteUpTo(kind)
 		unsaved := g.unsaved(clock.Now())
 		if known && len(unsaved) == 0 && (!g.watches() || clock.Since(listed) < listInterval) {
 			continue
@@ -105,8 +105,8 @@
 	q, kind := g.quarantines, g.cfg.Codec.QuarantineKind()
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	content := g.replica.Content(kind)
-	if _, known := g.replica.At(kind); !known || content == q.compiled {
+	content := g.replica.LastChanged(kind)
+	if _, known := g.replica.CompleteUpTo(kind); !known || content == q.compiled {
 		return
 	}
 	var entries []quarantine.Entry
@@ -115,7 +115,7 @@
 	for _, o := range objects {
 		e, err := decodeEntry(o.Spec, clock.Now())
 		if err == nil && e.Fingerprint.String() != o.Name {
-			err = object.NewFault(object.ReasonName, "%.64q is not its fingerprint", o.Name)
+			err = object.NewInvalidError(object.ReasonName, "%.64q is not its fingerprint", o.Name)
 		}
 		if err != nil {
 			g.unused.add(kind, o, err)
--- a/internal/gateway/quota.go
+++ b/internal/gateway/quota.go
@@ -72,8 +72,8 @@
 // lines on refusals of 95 VMs after 296 were killed at once, 15 were for a number that was
 // not known, and 1 was with it.
 func (g *Gateway) listedVMs() int {
-	if _, known := g.replica.At(g.cfg.Codec.MemberKind()); known {
-		return g.members.ListedLen()
+	if _, known := g.replica.CompleteUpTo(g.cfg.Codec.MemberKind()); known {
+		return g.members.ListedCount()
 	}
 	return int(g.quotas.toldVMs.Load())
 }
--- a/internal/gateway/rolloutloop.go
+++ b/internal/gateway/rolloutloop.go
@@ -58,7 +58,7 @@
 	g.waitForPeers(ctx, kind)
 	forgotten := false
 	for ctx.Err() == nil {
-		if _, known := g.replica.At(kind); known && !g.watches() && !forgotten {
+		if _, known := g.replica.CompleteUpTo(kind); known && !g.watches() && !forgotten {
 			select {
 			case <-ctx.Done():
 			case <-g.askedToWatch():
--- a/internal/gateway/signals.go
+++ b/internal/gateway/signals.go
@@ -33,7 +33,7 @@
 		return nil
 	}
 	now := clock.Now()
-	confirmed := g.replica.Confirmed(g.cfg.Codec.WorkerKind())
+	confirmed := g.replica.ConfirmedAt(g.cfg.Codec.WorkerKind())
 	told := make(map[string]*peerpb.WorkerSignals, len(known))
 	for life, signals := range known {
 		w, ok := s.Workers.ByIncarnation(life)
--- a/internal/gateway/start.go
+++ b/internal/gateway/start.go
@@ -85,7 +85,7 @@
 		return nil
 	}
 	var unheard []membership.Member
-	for _, m := range g.members.Listed() {
+	for _, m := range g.members.ListedMembers() {
 		if m.Start == 0 && m.ID != g.cfg.VM {
 			unheard = append(unheard, m)
 		}
@@ -199,7 +199,7 @@
 		g.neighbors.await(ctx)
 	}
 	for ctx.Err() == nil && clock.Now().Before(g.turn()) {
-		if _, known := g.replica.At(kind); known {
+		if _, known := g.replica.CompleteUpTo(kind); known {
 			return
 		}
 		sleep(ctx, startLook)
--- a/internal/gateway/stop.go
+++ b/internal/gateway/stop.go
@@ -49,7 +49,7 @@
 // last requests come.
 func (g *Gateway) tellLeaving(ctx context.Context) {
 	places := make(chan struct{}, leavingAtOnce)
-	for _, m := range nearest(g.members.All(), g.cfg.Hall, g.cfg.Halls, leavingTold) {
+	for _, m := range nearest(g.members.Others(), g.cfg.Hall, g.cfg.Halls, leavingTold) {
 		places <- struct{}{}
 		go func() {
 			defer func() { <-places }()
--- a/internal/gateway/teller.go
+++ b/internal/gateway/teller.go
@@ -88,8 +88,8 @@
 func (g *Gateway) confirmTold(answer *peerpb.Synced, sent time.Time) {
 	answered := sent.Add(time.Duration(answer.GetHeldMillis()) * time.Millisecond)
 	for kind, age := range answer.GetAgeMillis() {
-		if at, known := g.replica.At(kind); known && at >= answeredAt(answer, kind, at) {
-			g.replica.Confirm(kind, answered.Add(-time.Duration(age)*time.Millisecond))
+		if at, known := g.replica.CompleteUpTo(kind); known && at >= answeredAt(answer, kind, at) {
+			g.replica.MarkConfirmed(kind, answered.Add(-time.Duration(age)*time.Millisecond))
 		}
 	}
 }
@@ -106,10 +106,10 @@
 // mergeDelta takes in what a peer told of one kind. A kind that the peer shows to
 // be incomplete is read from the store anew.
 func (g *Gateway) mergeDelta(from string, d object.Delta) {
-	before := g.replica.Doubted(d.Kind)
+	before := g.replica.Inconsistent(d.Kind)
 	g.replica.Merge(d)
-	if !before && g.replica.Doubted(d.Kind) {
-		g.log.Info("knowledge: a peer names an object that is missing here", "kind", d.Kind, "peer", from, "since", d.Since, "at", d.At)
+	if !before && g.replica.Inconsistent(d.Kind) {
+		g.log.Info("knowledge: a peer names an object that is missing here", "kind", d.Kind, "peer", from, "since", d.Since, "at", d.UpTo)
 		g.cfg.Metrics.KnowledgeDoubted(d.Kind)
 		g.watchers.wakeUp()
 	}
@@ -182,7 +182,7 @@
 	answer = &peerpb.Synced{AgeMillis: make(map[string]uint32), ListedVms: uint32(g.listedVMs())}
 	for _, kind := range g.replicatedKinds() {
 		// The age is taken first: what is told next is at least as new.
-		if confirmed := g.replica.Confirmed(kind); !confirmed.IsZero() {
+		if confirmed := g.replica.ConfirmedAt(kind); !confirmed.IsZero() {
 			answer.AgeMillis[kind] = uint32(clock.Since(confirmed).Milliseconds()) + 1
 		}
 		if d, ok := g.lacks(ask, kind); ok {
--- a/internal/gateway/teller_test.go
+++ b/internal/gateway/teller_test.go
@@ -26,7 +26,7 @@
 	for i := range events {
 		events[i].Name, events[i].Revision = fmt.Sprintf("c%d", i), at
 	}
-	v.Hear(object.Delta{Kind: kindTraffic, Full: true, At: at, Events: events})
+	v.Hear(object.Delta{Kind: kindTraffic, Full: true, UpTo: at, Events: events})
 	for range 100 {
 		confirmed := v.Confirmed(kindConfig)
 		begun := time.Now()
--- a/internal/gateway/traffic.go
+++ b/internal/gateway/traffic.go
@@ -40,7 +40,7 @@
 	if err := json.Unmarshal(o.Spec, &kept); err != nil {
 		return spec.Traffic{}, "", errors.Wrap(err, "gateway: traffic object")
 	}
-	key := spec.Key{Kind: spec.KindTraffic, Name: spec.MainName}
+	key := spec.Key{Kind: spec.KindTraffic, Name: spec.SingletonName}
 	value, err := spec.Object{Key: key, Spec: kept.Traffic}.Value()
 	if err != nil {
 		return spec.Traffic{}, "", err
@@ -50,7 +50,7 @@
 }
 
 func encodeTraffic(t *spec.Traffic, operation string) ([]byte, error) {
-	key := spec.Key{Kind: spec.KindTraffic, Name: spec.MainName}
+	key := spec.Key{Kind: spec.KindTraffic, Name: spec.SingletonName}
 	o := spec.Encode(key, t)
 	if _, err := o.Value(); err != nil {
 		return nil, err
@@ -70,7 +70,7 @@
 
 func (s trafficStore) read(ctx context.Context) (t spec.Traffic, version uint64, operation string, err error) {
 	cfg := s.gateway.cfg
-	o, err := cfg.Store.Get(ctx, cfg.Codec.TrafficKind(), spec.MainName)
+	o, err := cfg.Store.Get(ctx, cfg.Codec.TrafficKind(), spec.SingletonName)
 	if errors.Is(err, ErrMissing) {
 		return spec.Traffic{}, 0, "", nil
 	}
@@ -91,7 +91,7 @@
 		return 0, err
 	}
 	for range writeRounds {
-		written, failed := cfg.Store.Replace(ctx, cfg.Codec.TrafficKind(), spec.MainName, version, body)
+		written, failed := cfg.Store.Replace(ctx, cfg.Codec.TrafficKind(), spec.SingletonName, version, body)
 		if failed == nil {
 			return written, nil
 		}
@@ -123,7 +123,7 @@
 	if err := cfg.Store.Put(ctx, cfg.Codec.PlanKind(), p.ID, body); err != nil {
 		return err
 	}
-	s.sweepPlans(ctx, p.Made)
+	s.sweepPlans(ctx, p.MadeAt)
 	return nil
 }
 
@@ -135,7 +135,7 @@
 	}
 	for _, o := range plans {
 		var p intent.Plan
-		if json.Unmarshal(o.Spec, &p) != nil || now.Sub(p.Made) > planLife {
+		if json.Unmarshal(o.Spec, &p) != nil || now.Sub(p.MadeAt) > planLife {
 			_ = cfg.Store.Delete(ctx, cfg.Codec.PlanKind(), o.Name)
 		}
 	}
@@ -162,6 +162,6 @@
 	if err != nil {
 		return // It could not have been written.
 	}
-	o := object.Object{Name: spec.MainName, Revision: w.Version, Spec: body}
+	o := object.Object{Name: spec.SingletonName, Revision: w.Version, Spec: body}
 	g.replica.Reset(g.cfg.Codec.TrafficKind(), []object.Object{o}, w.Version)
 }
--- a/internal/gateway/watch.go
+++ b/internal/gateway/watch.go
@@ -83,7 +83,7 @@
 	switch {
 	case g.watches():
 		return g.holdFor(kind), true
-	case g.replica.Doubted(kind), clock.Since(g.replica.Confirmed(kind)) >= g.cfg.StaleAfter:
+	case g.replica.Inconsistent(kind), clock.Since(g.replica.ConfirmedAt(kind)) >= g.cfg.StaleAfter:
 		return atOnce, true
 	}
 	return 0, false
@@ -93,14 +93,14 @@
 // shows that the replica is complete; so what is old already is asked for at once.
 // The way of the last answer, a part of askHold, makes nothing old.
 func (g *Gateway) holdFor(kind string) time.Duration {
-	age := clock.Since(g.replica.Confirmed(kind))
+	age := clock.Since(g.replica.ConfirmedAt(kind))
 	return min(max(g.cfg.WatchHold+askHold-age, atOnce), g.cfg.WatchHold)
 }
 
 // waitDue waits until the replica of a kind has become too old, or this VM is
 // asked to watch.
 func (g *Gateway) waitDue(ctx context.Context, kind string) {
-	wait := g.cfg.StaleAfter - clock.Since(g.replica.Confirmed(kind))
+	wait := g.cfg.StaleAfter - clock.Since(g.replica.ConfirmedAt(kind))
 	timer := time.NewTimer(max(wait, time.Millisecond))
 	defer timer.Stop()
 	select {
@@ -113,14 +113,14 @@
 // follow does one call: a watch of what is known, or a list. It reports whether
 // a watch brought news.
 func (g *Gateway) follow(ctx context.Context, kind string, hold time.Duration, list bool) (news bool, err error) {
-	since, known := g.replica.At(kind)
+	since, known := g.replica.CompleteUpTo(kind)
 	asked := clock.Now()
-	if !known || list || g.replica.Doubted(kind) {
+	if !known || list || g.replica.Inconsistent(kind) {
 		objects, at, err := g.cfg.Store.List(ctx, kind, false)
 		if err == nil {
 			g.noteAbsence(clock.Now())
 			g.replica.Reset(kind, objects, at)
-			g.replica.Confirm(kind, asked)
+			g.replica.MarkConfirmed(kind, asked)
 		}
 		return false, err
 	}
@@ -136,7 +136,7 @@
 		// nothing had changed.
 		confirmed = asked.Add(min(hold, clock.Since(asked)))
 	}
-	g.replica.Confirm(kind, confirmed)
+	g.replica.MarkConfirmed(kind, confirmed)
 	if len(events) > 0 {
 		sleep(ctx, g.gather())
 	}
@@ -157,7 +157,7 @@
 
 // longestWait returns the longest wait of this VM between two calls that fail.
 func (g *Gateway) longestWait() time.Duration {
-	if _, known := g.replica.At(g.cfg.Codec.WorkerKind()); !known || g.leads(clock.Now()) {
+	if _, known := g.replica.CompleteUpTo(g.cfg.Codec.WorkerKind()); !known || g.leads(clock.Now()) {
 		return longestRetry
 	}
 	return longestPatience
@@ -188,7 +188,7 @@
 	g.waitForPeers(ctx, kind)
 	wait := firstList
 	for ctx.Err() == nil {
-		if _, known := g.replica.At(kind); known && !g.watches() {
+		if _, known := g.replica.CompleteUpTo(kind); known && !g.watches() {
 			sleep(ctx, firstList)
 			continue
 		}
@@ -209,8 +209,8 @@
 // all else that a change of one worker needs.
 func (g *Gateway) compileMembers(c *compiler) {
 	kind := g.cfg.Codec.MemberKind()
-	at, known := g.replica.At(kind)
-	content := g.replica.Content(kind)
+	at, known := g.replica.CompleteUpTo(kind)
+	content := g.replica.LastChanged(kind)
 	if !known || content == c.listed {
 		return
 	}
--- a/internal/program/operator.go
+++ b/internal/program/operator.go
@@ -295,7 +295,7 @@
 	}
 	// A file may hold only some objects; halls can be checked if it has them.
 	if len(v.Fleet().Halls) > 0 {
-		err = v.Check()
+		err = v.CheckReferences()
 	}
 	return set, withCode(exitUsage, err)
 }
--- a/internal/program/print.go
+++ b/internal/program/print.go
@@ -18,7 +18,7 @@
 func newTable(w io.Writer) *tabwriter.Writer { return tabwriter.NewWriter(w, 0, 0, 2, ' ', 0) }
 
 func printPlan(w io.Writer, p *intent.Plan) error {
-	printf(w, "plan %s, made from edit %d, takes at least %s\n", p.ID, p.Edit, p.Takes)
+	printf(w, "plan %s, made from edit %d, takes at least %s\n", p.ID, p.Edit, p.MinDuration)
 	for _, m := range p.Changes {
 		printf(w, "  move %s: %s of %s from %s to %s, cap %s, step %s\n", m.ID, m.Goal, m.Service, m.From, targetText(m.Targets), m.Cap, m.Step)
 	}
--- a/protocol/outcome/outcome.go
+++ b/protocol/outcome/outcome.go
@@ -31,7 +31,7 @@
 // Headers of requests and answers. Callers may set HeaderTicket and HeaderClient
 // only; all other headers that begin with HeaderPrefix are removed from requests.
 const (
-	Prefix         = "Ryehill-"
+	HeaderPrefix   = "Ryehill-"
 	HeaderTicket   = "Ryehill-Ticket"
 	HeaderClient   = "Ryehill-Client"
 	HeaderOutcome  = "Ryehill-Outcome"
@@ -166,9 +166,9 @@
 // Unwrap returns the cause.
 func (f *Failure) Unwrap() error { return f.cause }
 
-// From returns the Failure in err's chain, or a new one with code CodeBroken and an
+// FromError returns the Failure in err's chain, or a new one with code CodeBroken and an
 // unknown outcome.
-func From(err error, step string) *Failure {
+func FromError(err error, step string) *Failure {
 	var f *Failure
 	if errors.As(err, &f) {
 		return f
--- a/protocol/wire/pack.go
+++ b/protocol/wire/pack.go
@@ -16,20 +16,20 @@
 // exhaust the receiver's memory.
 const maxUnpacked = 16 << 20
 
-// ErrPacked reports a packed value that cannot be decoded.
-var ErrPacked = errors.New("wire: invalid packed value")
+// ErrInvalidPacked reports a packed value that cannot be decoded.
+var ErrInvalidPacked = errors.New("wire: invalid packed value")
 
 // Pack returns a value as JSON compressed with DEFLATE (RFC 1951). Configuration
 // makes up most of the traffic between VMs.
 func Pack(v any) ([]byte, error) {
 	raw, err := json.Marshal(v)
 	if err != nil {
-		return nil, errors.Wrap(ErrPacked, err.Error())
+		return nil, errors.Wrap(ErrInvalidPacked, err.Error())
 	}
 	var out bytes.Buffer
 	w, err := flate.NewWriter(&out, flate.BestSpeed)
 	if err != nil {
-		return nil, errors.Wrap(ErrPacked, err.Error())
+		return nil, errors.Wrap(ErrInvalidPacked, err.Error())
 	}
 	if _, err = w.Write(raw); err == nil {
 		err = w.Close()
@@ -42,13 +42,13 @@
 func Unpack(packed []byte, into any) error {
 	raw, err := io.ReadAll(io.LimitReader(flate.NewReader(bytes.NewReader(packed)), maxUnpacked+1))
 	if err != nil {
-		return errors.Wrap(ErrPacked, err.Error())
+		return errors.Wrap(ErrInvalidPacked, err.Error())
 	}
 	if len(raw) > maxUnpacked {
-		return errors.Wrapf(ErrPacked, "more than %d bytes of JSON", maxUnpacked)
+		return errors.Wrapf(ErrInvalidPacked, "more than %d bytes of JSON", maxUnpacked)
 	}
 	if err := json.Unmarshal(raw, into); err != nil {
-		return errors.Wrap(ErrPacked, err.Error())
+		return errors.Wrap(ErrInvalidPacked, err.Error())
 	}
 	return nil
 }
--- a/protocol/wire/wire.go
+++ b/protocol/wire/wire.go
@@ -39,8 +39,8 @@
 	readBufferSize = 4 << 10
 )
 
-// ErrFrame reports an oversized or malformed frame.
-var ErrFrame = errors.New("wire: invalid frame")
+// ErrInvalidFrame reports an oversized or malformed frame.
+var ErrInvalidFrame = errors.New("wire: invalid frame")
 
 // Writer writes frames. It is not safe for concurrent use.
 type Writer struct {
@@ -56,12 +56,12 @@
 func (w *Writer) Write(e *peerpb.Envelope) error {
 	size := proto.Size(e)
 	if size > MaxFrame {
-		return errors.Wrapf(ErrFrame, "message of %d bytes, limit is %d", size, MaxFrame)
+		return errors.Wrapf(ErrInvalidFrame, "message of %d bytes, limit is %d", size, MaxFrame)
 	}
 	w.buffer = protowire.AppendVarint(w.buffer[:0], uint64(size))
 	framed, err := proto.MarshalOptions{UseCachedSize: true}.MarshalAppend(w.buffer, e)
 	if err != nil {
-		return errors.Wrap(ErrFrame, err.Error())
+		return errors.Wrap(ErrInvalidFrame, err.Error())
 	}
 	w.buffer = framed
 	if cap(w.buffer) > 2*ChunkSize {
@@ -88,7 +88,7 @@
 		return nil, err
 	}
 	if size > MaxFrame {
-		return nil, errors.Wrapf(ErrFrame, "announced length of %d bytes, limit is %d", size, MaxFrame)
+		return nil, errors.Wrapf(ErrInvalidFrame, "announced length of %d bytes, limit is %d", size, MaxFrame)
 	}
 	body, err := readBody(r.in, int(size))
 	if err != nil {
@@ -96,10 +96,10 @@
 	}
 	e := &peerpb.Envelope{}
 	if err := proto.Unmarshal(body, e); err != nil {
-		return nil, errors.Wrap(ErrFrame, err.Error())
+		return nil, errors.Wrap(ErrInvalidFrame, err.Error())
 	}
 	if e.Kind == nil {
-		return nil, errors.Wrap(ErrFrame, "unknown message kind")
+		return nil, errors.Wrap(ErrInvalidFrame, "unknown message kind")
 	}
 	return e, nil
 }
@@ -137,7 +137,7 @@
 		return nil, err
 	}
 	if size > maxUnbufferedFrame {
-		return nil, errors.Wrapf(ErrFrame, "announced length of %d bytes, limit is %d", size, maxUnbufferedFrame)
+		return nil, errors.Wrapf(ErrInvalidFrame, "announced length of %d bytes, limit is %d", size, maxUnbufferedFrame)
 	}
 	body := make([]byte, size)
 	if _, err := io.ReadFull(in, body); err != nil {
--- a/protocol/wire/wire_test.go
+++ b/protocol/wire/wire_test.go
@@ -38,7 +38,7 @@
 func TestOversizedFrameIsRejected(t *testing.T) {
 	w := wire.NewWriter(io.Discard)
 	e := &peerpb.Envelope{Kind: &peerpb.Envelope_Chunk{Chunk: &peerpb.Chunk{Data: make([]byte, wire.MaxFrame)}}}
-	if err := w.Write(e); !errors.Is(err, wire.ErrFrame) {
+	if err := w.Write(e); !errors.Is(err, wire.ErrInvalidFrame) {
 		t.Fatalf("got %v", err)
 	}
 }
@@ -68,10 +68,10 @@
 		t.Fatal(err)
 	}
 	var text string
-	if err := wire.Unpack(packed, &text); !errors.Is(err, wire.ErrPacked) {
+	if err := wire.Unpack(packed, &text); !errors.Is(err, wire.ErrInvalidPacked) {
 		t.Fatalf("%d bytes grew to %d, %v", len(packed), len(text), err)
 	}
-	if err := wire.Unpack([]byte("nonsense"), &text); !errors.Is(err, wire.ErrPacked) {
+	if err := wire.Unpack([]byte("nonsense"), &text); !errors.Is(err, wire.ErrInvalidPacked) {
 		t.Fatal(err)
 	}
 	if packed, err = wire.Pack("short"); err != nil || wire.Unpack(packed, &text) != nil || text != "short" {
--- a/state/attempt/attempt.go
+++ b/state/attempt/attempt.go
@@ -32,12 +32,12 @@
 
 // Errors for rejected tickets. The request was not started.
 var (
-	ErrSyntax  = errors.New("attempt: malformed ticket")
-	ErrOtherVM = errors.New("attempt: ticket names another VM")
-	ErrRestart = errors.New("attempt: ticket is from an earlier start of this VM")
-	ErrExpired = errors.New("attempt: ticket has expired")
-	ErrTooLong = errors.New("attempt: ticket lifetime exceeds the maximum")
-	ErrFull    = errors.New("attempt: table is full")
+	ErrSyntax           = errors.New("attempt: malformed ticket")
+	ErrOtherVM          = errors.New("attempt: ticket names another VM")
+	ErrEarlierStart     = errors.New("attempt: ticket is from an earlier start of this VM")
+	ErrExpired          = errors.New("attempt: ticket has expired")
+	ErrLifetimeExceeded = errors.New("attempt: ticket lifetime exceeds the maximum")
+	ErrFull             = errors.New("attempt: table is full")
 )
 
 const (
@@ -189,14 +189,14 @@
 		return nil, false, ErrOtherVM
 	}
 	if ticket.start != t.cfg.Start {
-		return nil, false, ErrRestart
+		return nil, false, ErrEarlierStart
 	}
 	now := t.cfg.Now()
 	if !now.Before(ticket.expires) {
 		return nil, false, ErrExpired
 	}
 	if ticket.expires.After(now.Add(MaxTerm + maxClockSkew)) {
-		return nil, false, ErrTooLong
+		return nil, false, ErrLifetimeExceeded
 	}
 	s := &t.shards[xxhash.Sum64String(ticket.nonce)%shardCount]
 	s.mu.Lock()
--- a/state/attempt/attempt_test.go
+++ b/state/attempt/attempt_test.go
@@ -89,9 +89,9 @@
 		want   error
 	}{
 		"another VM":    {attempt.NewTicket("a2", 1, now.Add(time.Minute)), attempt.ErrOtherVM},
-		"earlier start": {attempt.NewTicket("a1", 0, now.Add(time.Minute)), attempt.ErrRestart},
+		"earlier start": {attempt.NewTicket("a1", 0, now.Add(time.Minute)), attempt.ErrEarlierStart},
 		"expired":       {attempt.NewTicket("a1", 1, now.Add(-time.Second)), attempt.ErrExpired},
-		"too long":      {attempt.NewTicket("a1", 1, now.Add(time.Hour)), attempt.ErrTooLong},
+		"too long":      {attempt.NewTicket("a1", 1, now.Add(time.Hour)), attempt.ErrLifetimeExceeded},
 	}
 	table := attempt.New(attempt.Config{VM: "a1", Start: 1, Now: func() time.Time { return now }})
 	for name, c := range cases {
--- a/state/object/fault.go
+++ b/state/object/fault.go
@@ -21,30 +21,30 @@
 	ReasonHall       Reason = "hall"
 )
 
-// Fault reports an object that is not used. Other objects are unaffected.
-type Fault struct {
+// InvalidError reports an object that is not used. Other objects are unaffected.
+type InvalidError struct {
 	reason Reason
 	cause  error
 }
 
-// NewFault returns an error with a reason and a message for operators.
-func NewFault(reason Reason, format string, args ...any) error {
-	return &Fault{reason: reason, cause: errors.Newf(format, args...)}
+// NewInvalidError returns an error with a reason and a message for operators.
+func NewInvalidError(reason Reason, format string, args ...any) error {
+	return &InvalidError{reason: reason, cause: errors.Newf(format, args...)}
 }
 
 // Reason returns the class of the error.
-func (f *Fault) Reason() Reason { return f.reason }
+func (f *InvalidError) Reason() Reason { return f.reason }
 
 // Error implements error.
-func (f *Fault) Error() string { return string(f.reason) + ": " + f.cause.Error() }
+func (f *InvalidError) Error() string { return string(f.reason) + ": " + f.cause.Error() }
 
 // Unwrap returns the cause.
-func (f *Fault) Unwrap() error { return f.cause }
+func (f *InvalidError) Unwrap() error { return f.cause }
 
 // ReasonOf returns the reason of an InvalidError in err's chain, or
 // ReasonUnreadable for any other error.
 func ReasonOf(err error) Reason {
-	var f *Fault
+	var f *InvalidError
 	if errors.As(err, &f) {
 		return f.Reason()
 	}
--- a/state/object/kind.go
+++ b/state/object/kind.go
@@ -61,21 +61,21 @@
 		return k.replace(d, namesOf(d.Events))
 	case !k.initialized || d.Since > k.revision:
 		return false // The changes in between are missing.
-	case d.At <= k.revision:
+	case d.UpTo <= k.revision:
 		return false
 	case d.Listed:
 		return k.mergeListing(d)
 	}
 	changed := false
 	for _, e := range d.Events {
-		if e.Gone {
+		if e.Deleted {
 			// The store reports the revision of the last change before the
 			// deletion. Raise it, so that peers that are behind see the deletion.
-			e.Revision = max(e.Revision, d.At)
+			e.Revision = max(e.Revision, d.UpTo)
 		}
-		changed = k.applyEvent(e, d.At) || changed
+		changed = k.applyEvent(e, d.UpTo) || changed
 	}
-	k.revision = d.At
+	k.revision = d.UpTo
 	return changed
 }
 
@@ -110,25 +110,25 @@
 // applied now, the watch event would not count as a change and peers would never
 // receive it.
 func (k *kindReplica) replace(d Delta, names map[string]bool) bool {
-	if k.initialized && d.At < k.revision {
+	if k.initialized && d.UpTo < k.revision {
 		return false
 	}
 	changed := !k.initialized
 	for _, e := range d.Events {
-		if e.Revision <= d.At {
-			changed = k.applyEvent(e, d.At) || changed
+		if e.Revision <= d.UpTo {
+			changed = k.applyEvent(e, d.UpTo) || changed
 		}
 	}
 	for name := range k.objects {
 		if !names[name] {
-			changed = k.applyEvent(Event{Object: Object{Name: name, Revision: d.At}, Gone: true}, d.At) || changed
+			changed = k.applyEvent(Event{Object: Object{Name: name, Revision: d.UpTo}, Deleted: true}, d.UpTo) || changed
 		}
 	}
 	if changed {
-		k.lastChanged = d.At
+		k.lastChanged = d.UpTo
 	}
-	k.recordGap(d.At)
-	k.initialized, k.inconsistent, k.revision = true, false, d.At
+	k.recordGap(d.UpTo)
+	k.initialized, k.inconsistent, k.revision = true, false, d.UpTo
 	return changed
 }
 
@@ -152,11 +152,11 @@
 func (k *kindReplica) applyEvent(e Event, upTo uint64) bool {
 	current, ok := k.objects[e.Name]
 	switch {
-	case ok && (e.Revision < current.Revision || !e.Gone && equalObjects(current, e.Object)):
+	case ok && (e.Revision < current.Revision || !e.Deleted && equalObjects(current, e.Object)):
 		return false
-	case e.Gone && !ok:
+	case e.Deleted && !ok:
 		return false
-	case e.Gone:
+	case e.Deleted:
 		delete(k.objects, e.Name)
 		if i, found := slices.BinarySearch(k.names, e.Name); found {
 			k.names = slices.Delete(k.names, i, i+1)
--- a/state/object/object.go
+++ b/state/object/object.go
@@ -43,7 +43,7 @@
 // Event is a change of one object. Spec is not set for a deletion.
 type Event struct {
 	Object
-	Gone bool
+	Deleted bool
 }
 
 // Ref identifies an object at a revision.
@@ -63,18 +63,18 @@
 	Listing []Ref
 	// Events is complete for the revisions after Since, up to and including
 	// Revision.
-	Since, At uint64
-	Events    []Event
+	Since, UpTo uint64
+	Events      []Event
 }
 
-// Changed returns the objects after the events, ordered by name.
-func Changed(objects []Object, events []Event) []Object {
+// ApplyEvents returns the objects after the events, ordered by name.
+func ApplyEvents(objects []Object, events []Event) []Object {
 	byName := make(map[string]Object, len(objects))
 	for _, o := range objects {
 		byName[o.Name] = o
 	}
 	for _, e := range events {
-		if e.Gone {
+		if e.Deleted {
 			delete(byName, e.Name)
 			continue
 		}
--- a/state/object/replica.go
+++ b/state/object/replica.go
@@ -53,13 +53,13 @@
 	for _, o := range objects {
 		events = append(events, Event{Object: o})
 	}
-	r.Merge(Delta{Kind: name, Full: true, At: at, Events: events})
+	r.Merge(Delta{Kind: name, Full: true, UpTo: at, Events: events})
 }
 
 // Apply applies the changes of a kind after revision since, up to and including
 // revision at.
 func (r *Replica) Apply(name string, since uint64, events []Event, at uint64) {
-	r.Merge(Delta{Kind: name, Since: since, At: at, Events: events})
+	r.Merge(Delta{Kind: name, Since: since, UpTo: at, Events: events})
 }
 
 // Merge applies a delta and reports whether any object changed.
@@ -77,19 +77,19 @@
 	return changed
 }
 
-// At returns the revision up to which a kind is complete, and whether the replica
+// CompleteUpTo returns the revision up to which a kind is complete, and whether the replica
 // has received the kind.
-func (r *Replica) At(name string) (uint64, bool) {
+func (r *Replica) CompleteUpTo(name string) (uint64, bool) {
 	k := r.kind(name)
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return k.revision, k.initialized
 }
 
-// Content returns the revision of the last change to an object of a kind that this
+// LastChanged returns the revision of the last change to an object of a kind that this
 // replica knows of. A replica that is complete up to it has everything that this
 // one has.
-func (r *Replica) Content(name string) uint64 {
+func (r *Replica) LastChanged(name string) uint64 {
 	k := r.kind(name)
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -118,7 +118,7 @@
 	if !k.initialized || known && revision >= k.revision {
 		return Delta{}, false
 	}
-	d := Delta{Kind: name, Since: revision, At: k.revision}
+	d := Delta{Kind: name, Since: revision, UpTo: k.revision}
 	switch {
 	case !known:
 		d.Full, d.Since = true, 0
@@ -132,19 +132,19 @@
 	return d, true
 }
 
-// Doubted reports whether a peer's listing has shown that this replica lacks
+// Inconsistent reports whether a peer's listing has shown that this replica lacks
 // objects of a kind. Only a list or a full delta clears this.
-func (r *Replica) Doubted(name string) bool {
+func (r *Replica) Inconsistent(name string) bool {
 	k := r.kind(name)
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return k.inconsistent
 }
 
-// TakeChangedFrom returns a lower bound on the time of the changes since the last
+// TakeEarliestChange returns a lower bound on the time of the changes since the last
 // call: the store had confirmed the kind at that time before the earliest of them
 // arrived. It returns the zero time if there were no changes or no confirmation.
-func (r *Replica) TakeChangedFrom(name string) time.Time {
+func (r *Replica) TakeEarliestChange(name string) time.Time {
 	k := r.kind(name)
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -153,8 +153,8 @@
 	return from
 }
 
-// Confirm records that the store reported a kind as complete at a time.
-func (r *Replica) Confirm(name string, at time.Time) {
+// MarkConfirmed records that the store reported a kind as complete at a time.
+func (r *Replica) MarkConfirmed(name string, at time.Time) {
 	k := r.kind(name)
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -163,8 +163,8 @@
 	}
 }
 
-// Confirmed returns when the store last reported a kind as complete.
-func (r *Replica) Confirmed(name string) time.Time {
+// ConfirmedAt returns when the store last reported a kind as complete.
+func (r *Replica) ConfirmedAt(name string) time.Time {
 	k := r.kind(name)
 	k.mu.Lock()
 	defer k.mu.Unlock()
--- a/state/object/replica_test.go
+++ b/state/object/replica_test.go
@@ -38,7 +38,7 @@
 	}
 	s.revision++
 	delete(s.objects, name)
-	s.log = append(s.log, object.Event{Object: object.Object{Name: name, Revision: o.Revision}, Gone: true})
+	s.log = append(s.log, object.Event{Object: object.Object{Name: name, Revision: o.Revision}, Deleted: true})
 }
 
 func (s *store) list() []object.Object {
@@ -82,7 +82,7 @@
 // catchUp applies the changes that a replica lacks and describes any difference
 // from the store.
 func catchUp(r *object.Replica, s *store) string {
-	at, known := r.At(kind)
+	at, known := r.CompleteUpTo(kind)
 	if !known {
 		return ""
 	}
@@ -102,7 +102,7 @@
 		for range rapid.IntRange(1, 120).Draw(t, "steps") {
 			i := rapid.IntRange(0, 2).Draw(t, "replica")
 			r := replicas[i]
-			at, known := r.At(kind)
+			at, known := r.CompleteUpTo(kind)
 			switch rapid.IntRange(0, 7).Draw(t, "step") {
 			case 0, 1:
 				s.put(name.Draw(t, "name"))
@@ -114,7 +114,7 @@
 				first, at := s.list(), s.revision
 				s.put(name.Draw(t, "name"))
 				s.remove(name.Draw(t, "name"))
-				r.Reset(kind, object.Changed(listInPages(first, s.list()), s.log[at:]), s.revision)
+				r.Reset(kind, object.ApplyEvents(listInPages(first, s.list()), s.log[at:]), s.revision)
 			case 4:
 				if known && at < uint64(len(s.log)) {
 					to := at + uint64(rapid.IntRange(1, len(s.log)-int(at)).Draw(t, "to"))
@@ -130,12 +130,12 @@
 					r.Merge(earlierDeltas[rapid.IntRange(0, len(earlierDeltas)-1).Draw(t, "late")])
 				}
 			}
-			if after, _ := r.At(kind); after < at {
+			if after, _ := r.CompleteUpTo(kind); after < at {
 				t.Fatalf("replica revision decreased from %d to %d", at, after)
 			}
 		}
 		for i, r := range replicas {
-			if r.Doubted(kind) {
+			if r.Inconsistent(kind) {
 				t.Fatalf("replica %d is inconsistent", i)
 			}
 			if fault := catchUp(r, s); fault != "" {
@@ -164,7 +164,7 @@
 				list = append(list, old)
 			}
 			watcher.Reset(kind, list, 105)
-			at, known := peer.At(kind)
+			at, known := peer.CompleteUpTo(kind)
 			d, ok := watcher.Since(kind, at, known)
 			if !ok || !peer.Merge(d) {
 				t.Fatalf("the delta changed nothing at the peer: %+v", d)
@@ -185,7 +185,7 @@
 	watcher.Reset(kind, nil, 90)
 	peer.Reset(kind, []object.Object{{Name: "a", Revision: 99}}, 100)
 	watcher.Reset(kind, nil, 105)
-	at, known := peer.At(kind)
+	at, known := peer.CompleteUpTo(kind)
 	if d, ok := watcher.Since(kind, at, known); ok {
 		peer.Merge(d)
 	}
@@ -227,12 +227,12 @@
 		r := object.NewReplica()
 		r.Reset(kind, []object.Object{{Name: "a", Revision: 2}, {Name: "b", Revision: 5}}, 5)
 		Convey("sends a deletion to a peer that is behind", func() {
-			r.Apply(kind, 5, []object.Event{{Object: object.Object{Name: "a", Revision: 2}, Gone: true}}, 6)
+			r.Apply(kind, 5, []object.Event{{Object: object.Object{Name: "a", Revision: 2}, Deleted: true}}, 6)
 			d, ok := r.Since(kind, 5, true)
 			So(ok, ShouldBeTrue)
 			So(d.Full, ShouldBeFalse)
 			So(d.Events, ShouldHaveLength, 1)
-			So(d.Events[0].Gone, ShouldBeTrue)
+			So(d.Events[0].Deleted, ShouldBeTrue)
 		})
 		Convey("sends a full delta to an empty peer", func() {
 			d, _ := r.Since(kind, 0, false)
@@ -251,18 +251,18 @@
 				peer.Reset(kind, []object.Object{{Name: "a", Revision: 2}, {Name: "c", Revision: 3}}, 3)
 				So(peer.Merge(d), ShouldBeTrue)
 				So(peer.Objects(kind), ShouldResemble, r.Objects(kind))
-				at, _ := peer.At(kind)
+				at, _ := peer.CompleteUpTo(kind)
 				So(at, ShouldEqual, 5)
 			})
 			Convey("which marks a peer that lacks an object as inconsistent", func() {
 				peer := object.NewReplica()
 				peer.Reset(kind, []object.Object{{Name: "c", Revision: 3}}, 3)
 				So(peer.Merge(d), ShouldBeFalse)
-				So(peer.Doubted(kind), ShouldBeTrue)
+				So(peer.Inconsistent(kind), ShouldBeTrue)
 				Convey("until it gets a full delta", func() {
 					all, _ := r.Since(kind, 0, false)
 					So(peer.Merge(all), ShouldBeTrue)
-					So(peer.Doubted(kind), ShouldBeFalse)
+					So(peer.Inconsistent(kind), ShouldBeFalse)
 				})
 			})
 		})
--- a/state/spec/kinds.go
+++ b/state/spec/kinds.go
@@ -36,8 +36,8 @@
 	return err
 }
 
-// Or returns the duration, or the fallback if the duration is zero.
-func (d Duration) Or(fallback time.Duration) time.Duration {
+// OrDefault returns the duration, or the fallback if the duration is zero.
+func (d Duration) OrDefault(fallback time.Duration) time.Duration {
 	if d == 0 {
 		return fallback
 	}
@@ -53,9 +53,9 @@
 	// StepInterval is the minimum time between two steps of a move. Default twice
 	// the lookup TTL.
 	StepInterval Duration `json:"step_interval,omitempty"`
-	// LeastHeadroom is the fraction of a hall's slots that moves must leave free.
+	// MinHeadroom is the fraction of a hall's slots that moves must leave free.
 	// Default 10%.
-	LeastHeadroom *share.PPM `json:"least_headroom,omitempty"`
+	MinHeadroom *share.PPM `json:"least_headroom,omitempty"`
 }
 
 // Hall is one hall of a region.
@@ -74,22 +74,22 @@
 
 // Defaults of Fleet.
 const (
-	DefaultLookupTTL     = 5 * time.Second
-	DefaultLeastHeadroom = 10 * share.Percent
+	DefaultLookupTTL   = 5 * time.Second
+	DefaultMinHeadroom = 10 * share.Percent
 )
 
 // TTL returns how long a caller may cache a lookup.
-func (f *Fleet) TTL() time.Duration { return f.LookupTTL.Or(DefaultLookupTTL) }
+func (f *Fleet) TTL() time.Duration { return f.LookupTTL.OrDefault(DefaultLookupTTL) }
 
 // Interval returns the minimum time between two steps of a move.
-func (f *Fleet) Interval() time.Duration { return f.StepInterval.Or(2 * f.TTL()) }
+func (f *Fleet) Interval() time.Duration { return f.StepInterval.OrDefault(2 * f.TTL()) }
 
 // Headroom returns the fraction of a hall's slots that moves must leave free.
 func (f *Fleet) Headroom() share.PPM {
-	if f.LeastHeadroom == nil {
-		return DefaultLeastHeadroom
+	if f.MinHeadroom == nil {
+		return DefaultMinHeadroom
 	}
-	return *f.LeastHeadroom
+	return *f.MinHeadroom
 }
 
 // Region returns the region of a hall, or "" if the hall is unknown.
@@ -148,9 +148,9 @@
 	// Name is taken from the object's name.
 	Name    string   `json:"-"`
 	Workers []Worker `json:"workers"`
-	// Once lists the HTTP methods whose requests must run at most once. Default
+	// AtMostOnceMethods lists the HTTP methods whose requests must run at most once. Default
 	// POST and PATCH.
-	Once []string `json:"once,omitempty"`
+	AtMostOnceMethods []string `json:"once,omitempty"`
 	// Timeout bounds the time from the arrival of a request to the response header,
 	// excluding the time spent on the request body. Default 10 s.
 	Timeout Duration `json:"timeout,omitempty"`
@@ -180,12 +180,12 @@
 	DefaultConnections = 130
 )
 
-// IsOnce reports whether a request with this method must run at most once.
-func (s *Service) IsOnce(method string) bool {
-	if len(s.Once) == 0 {
+// AtMostOnce reports whether a request with this method must run at most once.
+func (s *Service) AtMostOnce(method string) bool {
+	if len(s.AtMostOnceMethods) == 0 {
 		return method == "POST" || method == "PATCH"
 	}
-	for _, m := range s.Once {
+	for _, m := range s.AtMostOnceMethods {
 		if m == method {
 			return true
 		}
--- a/state/spec/spec.go
+++ b/state/spec/spec.go
@@ -42,12 +42,12 @@
 	KindTraffic Kind = "traffic"
 )
 
-// MainName is the object name of the kinds with a single instance, Fleet and
+// SingletonName is the object name of the kinds with a single instance, Fleet and
 // Traffic.
-const MainName = "main"
+const SingletonName = "main"
 
-// ErrObject reports an object that cannot be decoded or fails validation.
-var ErrObject = errors.New("spec: invalid object")
+// ErrInvalidObject reports an object that cannot be decoded or fails validation.
+var ErrInvalidObject = errors.New("spec: invalid object")
 
 var namePattern = regexp.MustCompile(`^[a-z0-9]([a-z0-9-]{0,61}[a-z0-9])?$`)
 
@@ -89,14 +89,14 @@
 // unknown fields, an invalid key, or a body over MaxObjectBytes.
 func DecodeObject(body []byte) (Object, error) {
 	if len(body) > MaxObjectBytes {
-		return Object{}, errors.Wrapf(ErrObject, "%d bytes, limit is %d", len(body), MaxObjectBytes)
+		return Object{}, errors.Wrapf(ErrInvalidObject, "%d bytes, limit is %d", len(body), MaxObjectBytes)
 	}
 	var o Object
 	if err := decodeStrict(body, &o); err != nil {
 		return Object{}, err
 	}
 	if !ValidName(o.Name) || !ValidName(string(o.Kind)) {
-		return Object{}, errors.Wrapf(ErrObject, "key %q: kind and name must be lower-case letters, digits and hyphens", o.Key)
+		return Object{}, errors.Wrapf(ErrInvalidObject, "key %q: kind and name must be lower-case letters, digits and hyphens", o.Key)
 	}
 	return o, nil
 }
@@ -118,14 +118,14 @@
 	case KindTraffic:
 		v = &Traffic{}
 	default:
-		return nil, errors.Wrapf(ErrObject, "%s: unknown kind", o.Key)
+		return nil, errors.Wrapf(ErrInvalidObject, "%s: unknown kind", o.Key)
 	}
 	if err := decodeStrict(o.Spec, v); err != nil {
 		return nil, errors.Wrapf(err, "%s", o.Key)
 	}
 	var f violations
-	if single := o.Kind == KindFleet || o.Kind == KindTraffic; single && o.Name != MainName {
-		f.addf("name", "%q: the only %s is %q", o.Name, o.Kind, MainName)
+	if single := o.Kind == KindFleet || o.Kind == KindTraffic; single && o.Name != SingletonName {
+		f.addf("name", "%q: the only %s is %q", o.Name, o.Kind, SingletonName)
 	}
 	v.check(&f)
 	if err := f.err(); err != nil {
@@ -159,7 +159,7 @@
 	var combined error
 	for _, o := range s.Objects {
 		if !ValidName(o.Name) {
-			combined = errors.CombineErrors(combined, errors.Wrapf(ErrObject, "%s: invalid name", o.Key))
+			combined = errors.CombineErrors(combined, errors.Wrapf(ErrInvalidObject, "%s: invalid name", o.Key))
 			continue
 		}
 		if _, err := o.Value(); err != nil {
@@ -180,10 +180,10 @@
 	decoder := json.NewDecoder(bytes.NewReader(body))
 	decoder.DisallowUnknownFields()
 	if err := decoder.Decode(into); err != nil {
-		return errors.Wrapf(ErrObject, "%v", err)
+		return errors.Wrapf(ErrInvalidObject, "%v", err)
 	}
 	if _, err := decoder.Token(); !errors.Is(err, io.EOF) {
-		return errors.Wrap(ErrObject, "more than one JSON value")
+		return errors.Wrap(ErrInvalidObject, "more than one JSON value")
 	}
 	return nil
 }
--- a/state/spec/traffic.go
+++ b/state/spec/traffic.go
@@ -54,8 +54,8 @@
 	Drain bool `json:"drain,omitempty"`
 	// Reason explains the last change of state in one sentence.
 	Reason string `json:"reason,omitempty"`
-	// Changed is the Unix time in milliseconds of the last change.
-	Changed int64 `json:"changed"`
+	// ChangedAt is the Unix time in milliseconds of the last change.
+	ChangedAt int64 `json:"changed"`
 	// Facts are the inputs of the last change, with their ages.
 	Facts []string `json:"facts,omitempty"`
 	// History holds the latest changes, oldest first, at most MaxHistory.
@@ -73,12 +73,12 @@
 	Reason string    `json:"reason"`
 }
 
-// Note records the move's current share and state as a change.
-func (m *Move) Note(reason string, at time.Time) {
+// RecordChange records the move's current share and state as a change.
+func (m *Move) RecordChange(reason string, at time.Time) {
 	m.Reason = reason
-	m.Changed = at.UnixMilli()
+	m.ChangedAt = at.UnixMilli()
 	// Copies of the move share the old slice, so it is not appended to in place.
-	history := append(slices.Clone(m.History), MoveChange{At: m.Changed, Share: m.Share, State: m.State, Reason: reason})
+	history := append(slices.Clone(m.History), MoveChange{At: m.ChangedAt, Share: m.Share, State: m.State, Reason: reason})
 	m.History = history[max(0, len(history)-MaxHistory):]
 }
 
@@ -91,13 +91,13 @@
 // Ended reports whether the controller has finished with the move.
 func (m *Move) Ended() bool { return m.State == MoveDone || m.State == MoveStopped }
 
-// Settled reports whether lookups may return the targets in place of the hall.
-func (m *Move) Settled() bool {
+// DrainCompleted reports whether lookups may return the targets in place of the hall.
+func (m *Move) DrainCompleted() bool {
 	return m.Drain && m.State == MoveDone && m.Share == share.Whole
 }
 
-// Effective returns the share in force, limited by the cap.
-func (m *Move) Effective() share.PPM { return min(m.Share, m.Cap) }
+// EffectiveShare returns the share in force, limited by the cap.
+func (m *Move) EffectiveShare() share.PPM { return min(m.Share, m.Cap) }
 
 // Cap limits the combined share of all moves of a service out of a hall. An empty
 // Service or From matches every service or hall, each counted separately.
--- a/state/spec/violations.go
+++ b/state/spec/violations.go
@@ -38,5 +38,5 @@
 	if len(f.list) == 0 {
 		return nil
 	}
-	return errors.Wrap(ErrObject, strings.Join(f.list, "; "))
+	return errors.Wrap(ErrInvalidObject, strings.Join(f.list, "; "))
 }
--- a/state/spec/vms.go
+++ b/state/spec/vms.go
@@ -47,7 +47,7 @@
 // errors.
 func DecodeVMList(body []byte) (VMList, error) {
 	if len(body) > MaxObjectBytes {
-		return VMList{}, errors.Wrapf(ErrObject, "VM list: %d bytes, limit is %d", len(body), MaxObjectBytes)
+		return VMList{}, errors.Wrapf(ErrInvalidObject, "VM list: %d bytes, limit is %d", len(body), MaxObjectBytes)
 	}
 	var l VMList
 	if err := decodeStrict(body, &l); err != nil {
--- a/state/steering/table.go
+++ b/state/steering/table.go
@@ -33,8 +33,8 @@
 	MaxBitsV6 = 64
 )
 
-// ErrBlock reports a block that a table cannot hold.
-var ErrBlock = errors.New("steering: invalid block")
+// ErrInvalidBlock reports a block that a table cannot hold.
+var ErrInvalidBlock = errors.New("steering: invalid block")
 
 // Block assigns a prefix of client addresses to a home hall.
 type Block struct {
@@ -116,7 +116,7 @@
 	for _, p := range parts {
 		t.count += len(p.v4) + len(p.v6)
 		if t.count > MaxBlocks {
-			return nil, errors.Wrapf(ErrBlock, "more than %d blocks", MaxBlocks)
+			return nil, errors.Wrapf(ErrInvalidBlock, "more than %d blocks", MaxBlocks)
 		}
 		homes := make([]uint16, len(p.halls))
 		for i, hall := range p.halls {
@@ -145,13 +145,13 @@
 
 func internHall(index map[string]uint16, halls []string, hall string) (uint16, []string, error) {
 	if hall == "" {
-		return 0, halls, errors.Wrap(ErrBlock, "empty hall")
+		return 0, halls, errors.Wrap(ErrInvalidBlock, "empty hall")
 	}
 	if home, ok := index[hall]; ok {
 		return home, halls, nil
 	}
 	if len(halls) > MaxHalls {
-		return 0, halls, errors.Wrapf(ErrBlock, "more than %d halls", MaxHalls)
+		return 0, halls, errors.Wrapf(ErrInvalidBlock, "more than %d halls", MaxHalls)
 	}
 	home := uint16(len(halls))
 	index[hall] = home
@@ -229,7 +229,7 @@
 
 func spanOf(p netip.Prefix) (span, bool, error) {
 	if !p.IsValid() || p.Addr().Is4In6() {
-		return span{}, false, errors.Wrapf(ErrBlock, "invalid prefix %s", p)
+		return span{}, false, errors.Wrapf(ErrInvalidBlock, "invalid prefix %s", p)
 	}
 	is4 := p.Addr().Is4()
 	width := MaxBitsV6
@@ -237,7 +237,7 @@
 		width = 32
 	}
 	if p.Bits() > width {
-		return span{}, false, errors.Wrapf(ErrBlock, "prefix %s is longer than /%d", p, width)
+		return span{}, false, errors.Wrapf(ErrInvalidBlock, "prefix %s is longer than /%d", p, width)
 	}
 	first := addressKey(p.Masked().Addr())
 	size := uint64(1)<<(width-p.Bits()) - 1
--- a/state/view/view.go
+++ b/state/view/view.go
@@ -159,7 +159,7 @@
 	v.moves = make(map[moveKey][]*spec.Move)
 	for i := range v.traffic.Moves {
 		m := &v.traffic.Moves[i]
-		if m.State == spec.MoveStopped || m.Effective() == 0 {
+		if m.State == spec.MoveStopped || m.EffectiveShare() == 0 {
 			continue
 		}
 		key := moveKey{m.Service, m.From}
@@ -206,12 +206,12 @@
 // zero, in the order of the traffic object.
 func (v *View) Moves(service, from string) []*spec.Move { return v.moves[moveKey{service, from}] }
 
-// Leaving reports whether an operator drains the worker.
-func (v *View) Leaving(worker string) bool { return v.leaving[worker] }
+// IsLeaving reports whether an operator drains the worker.
+func (v *View) IsLeaving(worker string) bool { return v.leaving[worker] }
 
-// Nearest returns the other halls that have workers of a service: first those of
+// NearestHalls returns the other halls that have workers of a service: first those of
 // the same region, then all others, each group in the order of the fleet object.
-func (v *View) Nearest(hall, service string) []string {
+func (v *View) NearestHalls(hall, service string) []string {
 	s, ok := v.services[service]
 	if !ok {
 		return nil
@@ -230,9 +230,9 @@
 	return append(sameRegion, otherRegions...)
 }
 
-// AtGeneration returns the same configuration at a later generation, for a platform
+// WithGeneration returns the same configuration at a later generation, for a platform
 // revision without a configuration change.
-func (v *View) AtGeneration(generation uint64) *View {
+func (v *View) WithGeneration(generation uint64) *View {
 	next := *v
 	next.generation = generation
 	return &next
@@ -247,9 +247,9 @@
 	return &next
 }
 
-// Check returns an error that names every hall that blocks or services refer to and
+// CheckReferences returns an error that names every hall that blocks or services refer to and
 // the fleet lacks.
-func (v *View) Check() error {
+func (v *View) CheckReferences() error {
 	known := make(map[string]bool)
 	for _, h := range v.fleet.Halls {
 		known[h.Name] = true
--- a/transport/entry/lookup.go
+++ b/transport/entry/lookup.go
@@ -101,7 +101,7 @@
 	for !seen[hall] {
 		seen[hall] = true
 		for _, m := range v.Moves(service, hall) {
-			if m.Settled() {
+			if m.DrainCompleted() {
 				hall = drainTarget(m, client)
 				break
 			}
@@ -123,7 +123,7 @@
 // its VM while that is live.
 func (l *Lookup) selectMembers(v *view.View, service, hall string, client netip.Addr) []membership.Member {
 	selected := l.rankMembers(hall, client)
-	for _, other := range v.Nearest(hall, service) {
+	for _, other := range v.NearestHalls(hall, service) {
 		if len(selected) >= maxLookupVMs {
 			break
 		}
@@ -133,7 +133,7 @@
 }
 
 func (l *Lookup) rankMembers(hall string, client netip.Addr) []membership.Member {
-	members := l.cfg.Members.Hall(hall)
+	members := l.cfg.Members.UsableInHall(hall)
 	byID := make(map[string]membership.Member, len(members))
 	ids := make([]string, 0, len(members))
 	for _, m := range members {
--- a/transport/operator/gateway.go
+++ b/transport/operator/gateway.go
@@ -70,7 +70,7 @@
 // serveExplanation returns a move in force or the decision for a request.
 func (cfg GatewayConfig) serveExplanation(w http.ResponseWriter, r *http.Request) {
 	id := r.PathValue("id")
-	if m := intent.Find(cfg.Traffic(), id); m != nil {
+	if m := intent.FindMove(cfg.Traffic(), id); m != nil {
 		outcome.WriteJSON(w, http.StatusOK, Explanation{Move: m})
 		return
 	}
--- a/transport/operator/intents.go
+++ b/transport/operator/intents.go
@@ -63,7 +63,7 @@
 		writePlatformFailure(w, "read statuses", err)
 		return
 	}
-	plan, err := intent.Make(envelope.Intent, intent.Facts{ID: newPlanID(), View: i.cfg.View(&t), Halls: halls, Now: time.Now()})
+	plan, err := intent.MakePlan(envelope.Intent, intent.Facts{ID: newPlanID(), View: i.cfg.View(&t), Halls: halls, Now: time.Now()})
 	var refusal *intent.Refusal
 	switch {
 	case errors.As(err, &refusal):
@@ -136,11 +136,11 @@
 func writeChangeFailure(w http.ResponseWriter, err error) {
 	var refusal *intent.Refusal
 	switch {
-	case errors.Is(err, intent.ErrPlanAgain):
+	case errors.Is(err, intent.ErrStalePlan):
 		writeFailure(w, outcome.CodePlanAgain, "apply", err)
 	case errors.As(err, &refusal):
 		writeFailure(w, outcome.CodePlanRefused, "apply", refusal)
-	case errors.Is(err, intent.ErrIntent), errors.Is(err, intent.ErrTransition):
+	case errors.Is(err, intent.ErrInvalidIntent), errors.Is(err, intent.ErrTransition):
 		writeFailure(w, outcome.CodeBadRequest, "apply", err)
 	default:
 		writePlatformFailure(w, "change traffic", err)
--- a/transport/operator/status.go
+++ b/transport/operator/status.go
@@ -94,7 +94,7 @@
 		Halls:   []load.HallStatus{},
 		Moves:   v.Traffic().Moves, Caps: v.Traffic().Caps, Leaving: v.Traffic().Leaving,
 	}
-	for _, m := range a.cfg.Members.All() {
+	for _, m := range a.cfg.Members.Others() {
 		s.Members = append(s.Members, NewMemberStatus(m))
 	}
 	ctx, cancel := context.WithTimeout(r.Context(), platformStatusTimeout)
@@ -119,7 +119,7 @@
 
 func (a *api) serveExplanation(w http.ResponseWriter, r *http.Request) {
 	id := r.PathValue("id")
-	if m := intent.Find(a.cfg.View().Traffic(), id); m != nil {
+	if m := intent.FindMove(a.cfg.View().Traffic(), id); m != nil {
 		outcome.WriteJSON(w, http.StatusOK, Explanation{Move: m})
 		return
 	}
@@ -206,7 +206,7 @@
 	if err != nil {
 		return err
 	}
-	return v.Check()
+	return v.CheckReferences()
 }
 
 func (a *api) applyObject(r *http.Request, o spec.Object) (AppliedObject, error) {
--- a/transport/relay/engine.go
+++ b/transport/relay/engine.go
@@ -130,7 +130,7 @@
 	}
 	defer e.inFlight.Add(-1)
 	e.cfg.Meter.Begin(r.Service)
-	r.once = service.IsOnce(r.Method)
+	r.once = service.AtMostOnce(r.Method)
 	r.deadline = started.Add(requestTimeout(service, r))
 	var out serveResult
 	if r.once {
@@ -155,7 +155,7 @@
 }
 
 func requestTimeout(s *spec.Service, r *Request) time.Duration {
-	limit := s.Timeout.Or(spec.DefaultTimeout)
+	limit := s.Timeout.OrDefault(spec.DefaultTimeout)
 	if r.Timeout > 0 {
 		return min(limit, r.Timeout)
 	}
--- a/transport/relay/request.go
+++ b/transport/relay/request.go
@@ -140,7 +140,7 @@
 func EndToEndHeader(h http.Header) http.Header {
 	clean := make(http.Header, len(h))
 	for name, values := range h {
-		if strings.HasPrefix(name, outcome.Prefix) {
+		if strings.HasPrefix(name, outcome.HeaderPrefix) {
 			continue
 		}
 		clean[name] = values
--- a/transport/relay/route.go
+++ b/transport/relay/route.go
@@ -79,7 +79,7 @@
 // failover returns a route to the nearest hall that has granted a slot, or false.
 // For each hall without one, the next renewal of grants requests a slot.
 func (e *Engine) failover(r *Request, d *decision.Record) (route, bool) {
-	for _, hall := range e.cfg.View().Nearest(e.cfg.Self.Hall, r.Service) {
+	for _, hall := range e.cfg.View().NearestHalls(e.cfg.Self.Hall, r.Service) {
 		use := e.cfg.Holder.AcquireSlot(capacity.Source{Service: r.Service, Hall: hall})
 		if use == nil {
 			continue
