--- a/scripts/switch-off.sh
+++ b/scripts/switch-off.sh
@@ -50,7 +50,7 @@
 off caps-bind-balance coordination/placement/steer.go 'if !within || !c.SpendCaps() {' 'if false && (!within || !c.SpendCaps()) {' ./coordination/placement TestCapsLimitTheBalance
 off moves-steer coordination/placement/steer.go 'if c.Rule() != steer.RuleMove || !c.Spend() {' 'if true {' ./internal/gateway TestDrainOfAHall
 off write-known-again internal/gateway/traffic.go 'case err == nil && lastOperation == operation && current > 0:' 'case false && lastOperation == operation:' ./internal/gateway TestLostAnswerToAStop
-off lapse-grace internal/gateway/lapse.go 'if !now.Before(graceEnd) {' 'if true {' ./internal/gateway TestEntriesThatLapse
+off lapse-grace internal/gateway/outage.go 'if !now.Before(graceEnd) {' 'if true {' ./internal/gateway TestEntriesThatLapse
 off outliers-together internal/gateway/outliers.go 'if len(told) == 0 || len(told) > maxOutcomes {' 'if true {' ./internal/gateway TestVMsSpareAFailingWorkerTogether
 off most-spared coordination/placement/eligible.go 'if float64(len(spared)) > maxSparedShare' 'if false && float64(len(spared)) > maxSparedShare' ./coordination/placement TestSparedWorkers
 off time-over-is-no-failure transport/ingress/try.go 'return errors.Is(err, context.DeadlineExceeded) ||' 'return false && errors.Is(err, context.DeadlineExceeded) &&' ./transport/ingress TestOutcomesOfWorkers
@@ -64,8 +64,8 @@
 		return list' ./coordination/placement TestHolderTable
 off holders-kept coordination/balance/balance.go 's.retainHolders(b.lastHolders, change)' '' ./coordination/balance TestKeysStayWhenAWorkerJoins
 off holders-gaps state/holders/holders.go 'd.Since > current.version ||' '' ./state/holders 'TestGapsAreNotMerged|TestFollowersConverge'
-off holders-spread internal/gateway/teller.go 'g.balancer.table.Merge(fromBalanced(answer.GetBalanced()))' '' ./internal/gateway TestVMsFollowOneTable
-off loads-shared internal/gateway/teller.go 'g.passOnLoads(request.GetLoads())' '' ./internal/gateway TestVMsShareTheLoadOfWorkers
+off holders-spread internal/gateway/sync.go 'g.balancer.table.Merge(fromBalanced(answer.GetBalanced()))' '' ./internal/gateway TestVMsFollowOneTable
+off loads-shared internal/gateway/sync.go 'g.passOnLoads(request.GetLoads())' '' ./internal/gateway TestVMsShareTheLoadOfWorkers
 off losses-by-cause transport/ingress/losses.go 'case q.newKey:' 'case false:' ./transport/ingress TestLossesByCause
 off usable-slots coordination/capacity/pool.go 'if p.inUse >= usable || len(p.order) == 0 {' 'if len(p.order) == 0 {' ./coordination/capacity TestNeverMoreThanUsable
 off lending-headroom coordination/capacity/grant.go 'usable - headroom - p.inUse' 'usable - 0*headroom - p.inUse' ./coordination/capacity TestNeverMoreThanUsable
@@ -90,7 +90,7 @@
 off replica-list-keeps-history state/object/kind.go 'if !k.known {
 		k.history' 'if true {
 		k.history' ./state/object TestDeltas
-off large-parts-follow internal/gateway/teller.go 'g.replica.Changed(), g.largeReplies.slotFreed()' 'g.replica.Changed(), make(chan struct{})' ./internal/gateway TestLargePartsFollow
+off large-parts-follow internal/gateway/sync.go 'g.replica.Changed(), g.largeReplies.slotFreed()' 'g.replica.Changed(), make(chan struct{})' ./internal/gateway TestLargePartsFollow
 off key-hidden transport/ingress/try.go 'if q.hideKey {' 'if false {' ./transport/ingress TestWorkspacesAreKnownByTheirKeys
 off key-needed transport/ingress/identify.go 'case !known:' 'case false:' ./transport/ingress TestWorkspacesAreKnownByTheirKeys
 off workspace-homes transport/ingress/identify.go '(q.workspace == nil || q.workspace.AllowsRegion(region))' 'true' ./transport/ingress TestHomesOfWorkspacesBind
@@ -101,7 +101,7 @@
 off quota-starts-empty coordination/ratelimit/own.go 'b := &bucket{lastRefill: s.createdAt}' 'b := &bucket{lastRefill: s.createdAt, tokens: 1e9}' ./coordination/ratelimit TestRestartsAndNewPoolsAddNoTokens
 off bound-slots coordination/placement/share.go 'if r.unrestricted(regions) {' 'if false {' ./coordination/placement TestPinnedRequestsReduceKeptKeys
 off quota-turns coordination/ratelimit/pool.go 'b.promised = b.promised.Add(time.Duration(float64(time.Second) / f.rate))' '_ = f' ./coordination/ratelimit TestRefusedRequestsComeBackInTurn
-off answer-time-is-not-held internal/gateway/teller.go 'reply.HeldMillis = uint32(held.Milliseconds())' 'reply.HeldMillis = uint32(time.Since(received).Milliseconds())' ./internal/gateway TestTimeSpentOnAnAnswer
+off answer-time-is-not-held internal/gateway/sync.go 'reply.HeldMillis = uint32(held.Milliseconds())' 'reply.HeldMillis = uint32(time.Since(received).Milliseconds())' ./internal/gateway TestTimeSpentOnAnAnswer
 off watcher-passed-over internal/gateway/watchers.go 'case age > g.maxParentAge(parent) &&' 'case false &&' ./internal/gateway TestWatcherWithoutStore
 off watch-held-for-less internal/gateway/watch.go 'return min(max(g.cfg.WatchHold+maxSyncHold-age, minHold)' 'return min(max(g.cfg.WatchHold+maxSyncHold-0*age, minHold)' ./internal/gateway TestWatchIsHeldForLess
 off start-is-told-first internal/daemon/greet.go 'for d.store.VMs().Version == 0 &&' 'if d.greeted.Store(true); ctx.Err() == nil {
@@ -111,18 +111,18 @@
 off greeting-ends-the-pause transport/peer/stream.go 'm.greeted(id.VM)' '' ./transport/peer TestPeerThatGreets
 off answers-have-an-end internal/gateway/peers.go 's.SetWriteDeadline(time.Now().Add(replyTimeout(first)))' '_ = replyTimeout' ./internal/gateway TestPeersThatDoNotRead
 off loads-told-once internal/gateway/loads.go 'after = mark.GetNumber()' '' ./internal/gateway TestLoadsAreToldOnce
-off large-parts-bounded internal/gateway/copies.go 'if c.inFlight >= maxLargeReplies {' 'if false {' ./internal/gateway TestLargeParts
+off large-parts-bounded internal/gateway/largereplies.go 'if c.inFlight >= maxLargeReplies {' 'if false {' ./internal/gateway TestLargeParts
 off doubt-leads-to-a-list internal/gateway/watch.go 'if !known || list || g.replica.Doubted(kind) {' 'if !known || list {' ./internal/gateway TestDoubtedKindIsRead
 off replica-newer-than-list state/object/kind.go 'if e.Revision <= d.At {' 'if true {' ./state/object TestListThatRanAhead
 off listed-shows-what-is-missing state/object/kind.go 'k.doubted = true' '' ./state/object TestDeltas
 off list-of-one-revision platform/list.go 'rest...), events), at, err' 'rest...), events[:0]), at, err' ./platform TestListOfPages
 off list-in-ranges platform/list.go 'rangeBounds(first.names(), listRanges)' 'rangeBounds(first.names(), 1)' ./platform TestLongLists
-off tree-depth internal/gateway/teller.go 'request.GetHoldMillis() > 0 && request.GetDepth() <= 1' 'request.GetHoldMillis() > 0' ./internal/gateway 'TestDeepTree$'
+off tree-depth internal/gateway/sync.go 'request.GetHoldMillis() > 0 && request.GetDepth() <= 1' 'request.GetHoldMillis() > 0' ./internal/gateway 'TestDeepTree$'
 off turns-at-the-start internal/gateway/start.go 'min(time.Duration(rank)*listStagger, maxListDelay)' 'min(0*time.Duration(rank), maxListDelay)' ./internal/gateway TestAllVMsReturn
-off packed-is-news internal/gateway/teller.go '|| len(d.GetPacked()) > 0' '' ./internal/gateway TestLargeDeltas
+off packed-is-news internal/gateway/sync.go '|| len(d.GetPacked()) > 0' '' ./internal/gateway TestLargeDeltas
 off ended-workers-told transport/ingress/try.go 'c.Load().MarkAddressReused()' '' ./internal/gateway TestVMsHearThat
 off keys-handed-over coordination/placement/handover.go 'rand.Float64() < max(' 'rand.Float64() < 1+max(' ./coordination/placement TestKeysAreHandedOver
-off gate-of-all-kinds internal/gateway/gate.go 'if g.failures == 0 {' 'if g.failures >= 0 {' ./internal/gateway TestCallsToAStore
+off gate-of-all-kinds internal/gateway/storebackoff.go 'if g.failures == 0 {' 'if g.failures >= 0 {' ./internal/gateway TestCallsToAStore
 off no-copies-for-a-region state/object/replica.go 'd.Listed, d.Listing = true, k.listing()
 		d.Events = k.changedAfter(revision)' 'd.Full, d.Since = true, 0
 		d.Events = k.changedAfter(0)' ./internal/gateway TestRegionKeepsUp state/object/replica.go 'case k.remembers(revision):' 'case false:'
