--- a/internal/gateway/balance.go
+++ b/internal/gateway/balance.go
@@ -39,7 +39,7 @@
 	fetching sync.Mutex
 
 	mu            sync.Mutex
-	own           uint64 // epoch of this VM's own decisions, 0 for none
+	ownEpoch      uint64 // epoch of this VM's own decisions, 0 for none
 	lastRebalance time.Time
 }
 
@@ -55,7 +55,7 @@
 func (g *Gateway) balanceLoop(ctx context.Context) {
 	for ctx.Err() == nil {
 		sleep(ctx, balanceInterval)
-		if !g.Ready() || !g.settled() || !g.watches() {
+		if !g.Ready() || !g.settled() || !g.watchesStore() {
 			continue
 		}
 		m := g.electBalancer(clock.Now())
@@ -129,11 +129,11 @@
 	if s == nil || b.table.Epoch() == 0 && now.Sub(g.started) < settleTime {
 		return
 	}
-	if b.own == 0 || b.table.Epoch() != b.own {
-		b.own = uint64(now.UnixMicro())
-		b.table.StartEpoch(b.own)
+	if b.ownEpoch == 0 || b.table.Epoch() != b.ownEpoch {
+		b.ownEpoch = uint64(now.UnixMicro())
+		b.table.StartEpoch(b.ownEpoch)
 		b.decider.Reset()
-		g.log.Info("balance: this VM became the balancer", "epoch", b.own, "keys", b.table.Len())
+		g.log.Info("balance: this VM became the balancer", "epoch", b.ownEpoch, "keys", b.table.Len())
 	}
 	b.decider.AddReport(report)
 	if now.Sub(b.lastRebalance) < balanceInterval {
--- a/internal/gateway/candidates.go
+++ b/internal/gateway/candidates.go
@@ -19,7 +19,7 @@
 func (g *Gateway) candidates(now time.Time, wanted func(membership.Member) bool) candidates {
 	self := g.members.Self()
 	c := candidates{self.ID: self}
-	for _, m := range append(g.live(), g.unheard(now)...) {
+	for _, m := range append(g.liveMembers(), g.assumedLive(now)...) {
 		if m.ID != self.ID && wanted(m) {
 			c[m.ID] = m
 		}
--- a/internal/gateway/compile.go
+++ b/internal/gateway/compile.go
@@ -222,7 +222,7 @@
 		list = append(list, w)
 	}
 	g.unused.keep(g.cfg.Codec.WorkerKind(), objects)
-	retained := lapsed(c.workers, next, now, &g.outage, g.loads)
+	retained := lapsedWorkers(c.workers, next, now, &g.outage, g.loads)
 	if len(retained) > 0 {
 		g.log.Info("workers: keeping entries that lapsed while the store was unavailable", "entries", len(retained), "listed", len(list))
 	}
--- a/internal/gateway/config.go
+++ b/internal/gateway/config.go
@@ -29,14 +29,14 @@
 // ErrConfig reports invalid settings; its text names each field.
 var ErrConfig = errors.New("gateway: invalid settings")
 
-// ErrForgotten is returned by Store.Watch for a revision whose history the store no
+// ErrHistoryGone is returned by Store.Watch for a revision whose history the store no
 // longer keeps.
-var ErrForgotten = errors.New("gateway: the store has forgotten that history")
+var ErrHistoryGone = errors.New("gateway: the store has forgotten that history")
 
 // Errors of a Store's calls on single objects.
 var (
-	// ErrMissing reports an object that does not exist.
-	ErrMissing = errors.New("gateway: object not found")
+	// ErrNotFound reports an object that does not exist.
+	ErrNotFound = errors.New("gateway: object not found")
 	// ErrConflict reports that the object's revision did not match; nothing was
 	// written.
 	ErrConflict = errors.New("gateway: object revision does not match")
@@ -216,8 +216,8 @@
 	}
 }
 
-// Check returns ErrConfig with all violations of the settings, or nil.
-func (c *Config) Check() error {
+// Validate returns ErrConfig with all violations of the settings, or nil.
+func (c *Config) Validate() error {
 	var problems []string
 	add := func(field, want string) { problems = append(problems, field+": "+want) }
 	for field, value := range map[string]string{"fleet": c.Fleet, "vm": c.VM, "hall": c.Hall} {
--- a/internal/gateway/control.go
+++ b/internal/gateway/control.go
@@ -23,17 +23,17 @@
 func (g *Gateway) controlLoop(ctx context.Context) {
 	for number := 1; ctx.Err() == nil; number++ {
 		sleep(ctx, controlInterval)
-		if !g.Ready() || !traffic.HasActiveMoves(g.traffic()) || !g.controls() {
+		if !g.Ready() || !traffic.HasActiveMoves(g.traffic()) || !g.isController() {
 			continue
 		}
 		g.step(ctx, "step-"+g.cfg.VM+"-"+strconv.FormatUint(g.self.Start, 36)+"-"+strconv.Itoa(number))
 	}
 }
 
-// controls reports whether this VM is the controller among the live ones.
-func (g *Gateway) controls() bool {
+// isController reports whether this VM is the controller among the live ones.
+func (g *Gateway) isController() bool {
 	var ids []string
-	for _, m := range g.live() {
+	for _, m := range g.liveMembers() {
 		ids = append(ids, m.ID)
 	}
 	controller := assign.Top("controller", ids, 1)
@@ -43,7 +43,7 @@
 func (g *Gateway) step(ctx context.Context, operation string) {
 	written, actions, err := traffic.Step(ctx, traffic.StepConfig{
 		Store: trafficStore{g}, Fleet: g.planView(g.traffic()).Fleet(), Now: clock.Now,
-		Operation: func() string { return operation }, IsController: g.controls,
+		Operation: func() string { return operation }, IsController: g.isController,
 	})
 	if err != nil {
 		g.log.Info("controller: no step", "error", err.Error())
--- a/internal/gateway/deltacache.go
+++ b/internal/gateway/deltacache.go
@@ -41,7 +41,7 @@
 	since, at    uint64
 }
 
-func newPacks() *deltaCache { return &deltaCache{entries: make(map[deltaKey][]byte)} }
+func newDeltaCache() *deltaCache { return &deltaCache{entries: make(map[deltaKey][]byte)} }
 
 // delta encodes a delta, compressed if it is large and the receiver supports that.
 func (p *deltaCache) delta(d object.Delta, takesPacked bool) *peerpb.Delta {
--- a/internal/gateway/directory.go
+++ b/internal/gateway/directory.go
@@ -22,7 +22,7 @@
 // TTL. It returns VMs of other regions only if that region has none.
 func (g *Gateway) Resolve(_, region, _ string) ([]string, time.Duration) {
 	ttl := min(directoryTTL, g.cfg.Bounds.MaxTTL)
-	members := g.live()
+	members := g.liveMembers()
 	var near, far []string
 	for _, m := range members {
 		if g.cfg.Halls[m.Hall] == region {
@@ -38,8 +38,8 @@
 	return near[:min(len(near), maxAddresses)], ttl
 }
 
-// live returns the VMs that respond, including this one while it serves.
-func (g *Gateway) live() []membership.Member {
+// liveMembers returns the VMs that respond, including this one while it serves.
+func (g *Gateway) liveMembers() []membership.Member {
 	var live []membership.Member
 	if g.Ready() {
 		live = append(live, g.members.Self())
@@ -69,7 +69,7 @@
 	if !g.settled() {
 		return nil, 0
 	}
-	for _, m := range g.live() {
+	for _, m := range g.liveMembers() {
 		if g.cfg.Halls[m.Hall] == region {
 			ids = append(ids, m.ID)
 		}
--- a/internal/gateway/export_test.go
+++ b/internal/gateway/export_test.go
@@ -30,7 +30,7 @@
 // Lapsed is lapsed for a store that was last confirmed at a moment, and came back lapseGrace
 // before another one.
 func Lapsed(before, listed map[string]*worker.Worker, now, confirmed, graceEnd time.Time, loads *worker.Loads) []*worker.Worker {
-	return lapsed(before, listed, now, &absence{returned: graceEnd.Add(-lapseGrace), confirmed: confirmed}, loads)
+	return lapsedWorkers(before, listed, now, &storeOutage{returned: graceEnd.Add(-lapseGrace), confirmed: confirmed}, loads)
 }
 
 // TableEpoch returns the epoch of the table of holders.
@@ -40,7 +40,7 @@
 func (g *Gateway) Decides() bool {
 	g.balancer.mu.Lock()
 	defer g.balancer.mu.Unlock()
-	return g.balancer.own != 0 && g.balancer.own == g.balancer.table.Epoch()
+	return g.balancer.ownEpoch != 0 && g.balancer.ownEpoch == g.balancer.table.Epoch()
 }
 
 // Move names the holder of a key, as a decision does.
@@ -108,13 +108,13 @@
 // BoundCopies returns what bounds the large parts of a VM's answers: deltas, and
 // tables.
 func BoundCopies() (deltas, tables func(*peerpb.Synced) (sent func())) {
-	c := newCopies()
-	return c.bound, c.boundTable
+	c := newLargeReplies()
+	return c.dropOversized, c.dropOversizedTable
 }
 
 // Lacks returns what this VM tells one that asks of a kind.
 func (g *Gateway) Lacks(ask *peerpb.Sync, kind string) (object.Delta, bool) {
-	return g.lacks(ask, kind)
+	return g.deltaFor(ask, kind)
 }
 
 // Hear takes in what a peer tells of one kind.
@@ -123,12 +123,12 @@
 // TellSlowly answers a VM that asks for news, and leaves it to the test when the
 // answer has been sent.
 func (g *Gateway) TellSlowly(ctx context.Context, ask *peerpb.Sync) (answer *peerpb.Synced, sent func()) {
-	return g.tell(ctx, ask)
+	return g.handleSync(ctx, ask)
 }
 
 // Tell answers a VM that asks for news.
 func (g *Gateway) Tell(ctx context.Context, ask *peerpb.Sync) *peerpb.Synced {
-	answer, sent := g.tell(ctx, ask)
+	answer, sent := g.handleSync(ctx, ask)
 	sent()
 	return answer
 }
@@ -144,13 +144,13 @@
 }
 
 // Age returns how old the oldest knowledge is that requests rest on.
-func (g *Gateway) Age() time.Duration { return g.age() }
+func (g *Gateway) Age() time.Duration { return g.maxReplicaAge() }
 
 // Unpack reads a packed delta; Packed and Unpacked return a delta as it is sent.
 var Unpack = unpack
 
 // Packed returns what a delta is packed to for a VM that understands that.
-func Packed(d object.Delta) []byte { return newPacks().delta(d, true).GetPacked() }
+func Packed(d object.Delta) []byte { return newDeltaCache().delta(d, true).GetPacked() }
 
 // Unpacked returns a delta as it is sent to any VM.
 func Unpacked(d object.Delta) *peerpb.Delta { return toDelta(d) }
@@ -195,10 +195,10 @@
 func (g *Gateway) HearListedVMs(n uint32) { g.hearListedVMs(n) }
 
 // Controls reports whether this VM steps moves and roll-outs.
-func (g *Gateway) Controls() bool { return g.controls() }
+func (g *Gateway) Controls() bool { return g.isController() }
 
 // Peers returns how many VMs this one takes to be live, itself included.
-func (g *Gateway) Peers() int { return len(g.live()) }
+func (g *Gateway) Peers() int { return len(g.liveMembers()) }
 
 // Divided returns how many workers of the version in use and of one that is being brought in
 // a VM uses that knows of one order, or of none if its version is 0.
@@ -249,12 +249,12 @@
 // within a time.
 func Gather(within time.Duration) time.Duration {
 	g := &Gateway{cfg: Config{Bounds: Bounds{ApplyWithin: within}}}
-	return g.gather()
+	return g.coalesceDelay()
 }
 
 // TellsLeaving returns the VMs that one of a hall tells that it leaves.
 func TellsLeaving(members []membership.Member, hall string, regions map[string]string) []membership.Member {
-	return nearest(members, hall, regions, leavingTold)
+	return nearest(members, hall, regions, maxLeaveProbes)
 }
 
 // Issues returns how many requests to a life of a worker this VM hands out if it is asked
--- a/internal/gateway/fake_test.go
+++ b/internal/gateway/fake_test.go
@@ -168,7 +168,7 @@
 	defer d.store.mu.Unlock()
 	o, ok := d.store.kinds[kind][name]
 	if !ok {
-		return o, gateway.ErrMissing
+		return o, gateway.ErrNotFound
 	}
 	return o, nil
 }
@@ -293,7 +293,7 @@
 		at, changed, forgotten := d.store.revision, d.store.changed, d.store.forgotten
 		d.store.mu.Unlock()
 		if since < forgotten {
-			return nil, 0, gateway.ErrForgotten
+			return nil, 0, gateway.ErrHistoryGone
 		}
 		if len(events) > 0 {
 			return events, at, nil
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -92,23 +92,23 @@
 	snapshot  atomic.Pointer[placement.Snapshot]
 	compiler  compiler
 
-	listeners    []net.Listener
-	servers      []*http.Server
-	clientServer *http.Server
-	peerListener net.Listener
-	pullMu       sync.Mutex
-	outage       absence
-	judge        *outlier.Detector
-	watchers     *watchers
-	neighbors    *neighbors
-	knowledge    *knowledge
-	largeReplies *largeReplies
-	deltaCache   *deltaCache
-	relayed      *relayed
-	gate         *storeBackoff
-	quotas       *quotas
-	permits      *permits
-	rollouts     *rollouts
+	listeners       []net.Listener
+	servers         []*http.Server
+	clientServer    *http.Server
+	peerListener    net.Listener
+	pullMu          sync.Mutex
+	outage          storeOutage
+	outlierDetector *outlier.Detector
+	watchers        *watchers
+	neighbors       *neighbors
+	knowledge       *knowledge
+	largeReplies    *largeReplies
+	deltaCache      *deltaCache
+	relayed         *relayed
+	storeBackoff    *storeBackoff
+	quotas          *quotas
+	permits         *permits
+	rollouts        *rollouts
 	// unused tracks the store's entries that cannot be used.
 	unused *unused
 	// quarantines tracks the requests that crash workers.
@@ -124,7 +124,7 @@
 
 // New validates the settings and opens the listeners.
 func New(cfg Config) (*Gateway, error) {
-	if err := cfg.Check(); err != nil {
+	if err := cfg.Validate(); err != nil {
 		return nil, err
 	}
 	cfg.setDefaults()
@@ -134,9 +134,9 @@
 		self:      peer.Identity{Fleet: cfg.Fleet, Hall: cfg.Hall, VM: cfg.VM, Start: uint64(start.UnixMicro())},
 		decisions: ingress.NewDecisions(), replica: object.NewReplica(), loads: worker.NewLoads(clock.Now),
 		compiler: newCompiler(),
-		meters:   load.NewHallMeters(clock.Now), judge: outlier.New(outlier.Config{Now: clock.Now}),
-		serveErrors: make(chan error, 1), watchers: newWatchers(), knowledge: newKnowledge(), largeReplies: newCopies(),
-		neighbors: newNeighbors(), deltaCache: newPacks(), relayed: newRelayed(), gate: &storeBackoff{}, keyQuestions: newKeyQuestions(),
+		meters:   load.NewHallMeters(clock.Now), outlierDetector: outlier.New(outlier.Config{Now: clock.Now}),
+		serveErrors: make(chan error, 1), watchers: newWatchers(), knowledge: newKnowledge(), largeReplies: newLargeReplies(),
+		neighbors: newNeighbors(), deltaCache: newDeltaCache(), relayed: newRelayed(), storeBackoff: &storeBackoff{}, keyQuestions: newKeyQuestions(),
 		quarantines: newQuarantines(), rollouts: newRollouts(cfg.Bounds.RolloutShare), unused: newUnused(cfg.Log, cfg.Metrics),
 		lifecycle: fsm.NewFSM(phaseStarting, fsm.Events{
 			{Name: "serve", Src: []string{phaseStarting}, Dst: phaseServing},
@@ -166,7 +166,7 @@
 		Demand:     g.balancer.meter,
 		HallMeters: g.meters,
 		VMCount:    func() int { return g.members.Len() + 1 },
-		VM:         cfg.VM, Decisions: g.decisions, StateAge: g.age, Limiter: g, Keys: g, Quarantine: g.quarantines, Rollouts: g.rollouts, Now: clock.Now,
+		VM:         cfg.VM, Decisions: g.decisions, StateAge: g.maxReplicaAge, Limiter: g, Keys: g, Quarantine: g.quarantines, Rollouts: g.rollouts, Now: clock.Now,
 		LeavingGrace: g.leaveWithin(),
 		Retry:        retry.Config{Ratio: share.PPM(cfg.Bounds.RetryRatio * retryRatioFraction * float64(share.Whole)), Burst: retryBurst},
 	})
@@ -195,8 +195,8 @@
 	return regions
 }
 
-// age returns the age of the oldest replicated state that requests depend on.
-func (g *Gateway) age() time.Duration {
+// maxReplicaAge returns the maxReplicaAge of the oldest replicated state that requests depend on.
+func (g *Gateway) maxReplicaAge() time.Duration {
 	oldest := time.Duration(0)
 	for _, kind := range g.watchedKinds() {
 		oldest = max(oldest, clock.Since(g.replica.ConfirmedAt(kind)))
--- a/internal/gateway/halls.go
+++ b/internal/gateway/halls.go
@@ -19,8 +19,8 @@
 	"github.com/ryehill/ryehill/transport/peer"
 )
 
-// reportsAtOnce bounds the concurrent requests for reports.
-const reportsAtOnce = 32
+// maxConcurrentReports bounds the concurrent requests for reports.
+const maxConcurrentReports = 32
 
 // trafficVersion returns the version of the operators' traffic object that is
 // replicated here.
@@ -58,8 +58,8 @@
 	reports = []load.Report{g.meters.Report(g.trafficVersion())}
 	var mu sync.Mutex
 	var requests sync.WaitGroup
-	semaphore := make(chan struct{}, reportsAtOnce)
-	for _, m := range g.live() {
+	semaphore := make(chan struct{}, maxConcurrentReports)
+	for _, m := range g.liveMembers() {
 		if m.ID == g.cfg.VM {
 			continue
 		}
--- a/internal/gateway/keys.go
+++ b/internal/gateway/keys.go
@@ -98,13 +98,13 @@
 
 // askForKeys asks another VM for news once, and takes them in.
 func (g *Gateway) askForKeys() {
-	t := g.teller(clock.Now())
+	t := g.parent(clock.Now())
 	if t.ID == g.cfg.VM {
 		return // It watches the store itself.
 	}
 	g.cfg.Metrics.KeyQuestion()
-	question := question{from: peer.Target{VM: t.ID, Address: t.Peer}, depth: askedBeside}
-	if _, err := g.askNews(context.Background(), question); err != nil {
+	question := syncRequest{from: peer.Target{VM: t.ID, Address: t.Peer}, depth: secondaryDepth}
+	if _, err := g.syncFrom(context.Background(), question); err != nil {
 		g.log.V(1).Info("keys: no answer", "peer", t.ID, "error", err.Error())
 	}
 	g.awaitCompiled()
--- a/internal/gateway/knowledge.go
+++ b/internal/gateway/knowledge.go
@@ -36,8 +36,8 @@
 	return &knowledge{overdue: make(map[string]time.Duration), storeErrors: make(map[string]string)}
 }
 
-// noteStore records the result of the last call to the store for a kind.
-func (k *knowledge) noteStore(kind string, err error) {
+// recordStoreCall records the result of the last call to the store for a kind.
+func (k *knowledge) recordStoreCall(kind string, err error) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	delete(k.storeErrors, kind)
@@ -110,7 +110,7 @@
 		k.overdue[kind] = max(maxAge, age)
 		if !overdue {
 			g.log.Info("knowledge: older than a change may take", "kind", kind, "age_ms", age.Milliseconds(),
-				"asked_to_watch", g.watches(), "store", k.storeErrors[kind], "peer", k.peerError)
+				"asked_to_watch", g.watchesStore(), "store", k.storeErrors[kind], "peer", k.peerError)
 		}
 	case overdue:
 		delete(k.overdue, kind)
--- a/internal/gateway/largereplies.go
+++ b/internal/gateway/largereplies.go
@@ -34,7 +34,7 @@
 	released chan struct{}
 }
 
-func newCopies() *largeReplies { return &largeReplies{released: make(chan struct{})} }
+func newLargeReplies() *largeReplies { return &largeReplies{released: make(chan struct{})} }
 
 // acquire takes a slot for a large reply, if one is free.
 func (c *largeReplies) acquire() bool {
@@ -63,9 +63,9 @@
 	return c.released
 }
 
-// bound removes the deltas from a reply that are too large to send now. The caller
+// dropOversized removes the deltas from a reply that are too large to send now. The caller
 // calls onSent once the reply has been sent.
-func (c *largeReplies) bound(reply *peerpb.Synced) (onSent func()) {
+func (c *largeReplies) dropOversized(reply *peerpb.Synced) (onSent func()) {
 	acquired := false
 	reply.Deltas = slices.DeleteFunc(reply.Deltas, func(d *peerpb.Delta) bool {
 		if c.admit(d, &acquired) {
@@ -79,8 +79,8 @@
 	return c.releaseIf(&acquired)
 }
 
-// boundTable does the same for the table of holders in a reply.
-func (c *largeReplies) boundTable(reply *peerpb.Synced) (onSent func()) {
+// dropOversizedTable does the same for the table of holders in a reply.
+func (c *largeReplies) dropOversizedTable(reply *peerpb.Synced) (onSent func()) {
 	acquired := false
 	if reply.GetBalanced() != nil && !c.admit(reply.GetBalanced(), &acquired) {
 		reply.Balanced = nil
--- a/internal/gateway/operators.go
+++ b/internal/gateway/operators.go
@@ -35,7 +35,7 @@
 		VM: g.cfg.VM, Hall: g.cfg.Hall, Generation: g.trafficVersion(), Platform: "up",
 		Members: []operator.MemberStatus{operator.NewMemberStatus(g.members.Self())},
 	}
-	if age := g.age(); age > g.cfg.StaleAfter+outageMargin {
+	if age := g.maxReplicaAge(); age > g.cfg.StaleAfter+outageMargin {
 		s.Platform = "away: not heard of for " + age.Round(time.Millisecond).String()
 	}
 	for _, m := range g.members.Others() {
--- a/internal/gateway/outage.go
+++ b/internal/gateway/outage.go
@@ -21,9 +21,9 @@
 	lapseGrace = 2 * time.Second
 )
 
-// absence records the end of the last outage of the store, derived from the age of the
+// storeOutage records the end of the last outage of the store, derived from the age of the
 // replica. It is safe for concurrent use.
-type absence struct {
+type storeOutage struct {
 	mu       sync.Mutex
 	returned time.Time
 	// confirmed is when the store had last confirmed the replica before the outage.
@@ -32,7 +32,7 @@
 
 // record detects the end of an outage. It takes the time at which a kind was last
 // confirmed, and is called before newer state of the kind is applied.
-func (a *absence) record(confirmed, now time.Time, outageAfter time.Duration) {
+func (a *storeOutage) record(confirmed, now time.Time, outageAfter time.Duration) {
 	if confirmed.IsZero() || now.Sub(confirmed) < outageAfter {
 		return
 	}
@@ -42,7 +42,7 @@
 }
 
 // graceEnd returns the time until which workers with missing entries are used.
-func (a *absence) graceEnd() time.Time {
+func (a *storeOutage) graceEnd() time.Time {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.returned.Add(lapseGrace)
@@ -50,7 +50,7 @@
 
 // lastConfirmed returns when the store had last confirmed the entries that the outage
 // may have removed.
-func (a *absence) lastConfirmed() time.Time {
+func (a *storeOutage) lastConfirmed() time.Time {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.confirmed
@@ -63,10 +63,10 @@
 	g.outage.record(confirmed, now, g.cfg.StaleAfter+outageMargin)
 }
 
-// lapsed returns the workers whose entries are missing but may only have expired while
+// lapsedWorkers returns the workers whose entries are missing but may only have expired while
 // the store was unavailable. It omits workers that announced that they leave, in the
 // store or in responses.
-func lapsed(previous, listed map[string]*worker.Worker, now time.Time, outage *absence, loads *worker.Loads) []*worker.Worker {
+func lapsedWorkers(previous, listed map[string]*worker.Worker, now time.Time, outage *storeOutage, loads *worker.Loads) []*worker.Worker {
 	if !now.Before(outage.graceEnd()) {
 		return nil
 	}
--- a/internal/gateway/outliers.go
+++ b/internal/gateway/outliers.go
@@ -19,8 +19,8 @@
 // up what all VMs of the region saw.
 func (g *Gateway) takeOutcomes() map[string]worker.Outcomes {
 	outcomes := g.loads.DrainOutcomes(maxOutcomes)
-	g.judge.AddOutcomes(outcomes)
-	spared := g.judge.Ejected()
+	g.outlierDetector.AddOutcomes(outcomes)
+	spared := g.outlierDetector.Ejected()
 	g.tellSpared(spared)
 	g.spare(spared)
 	g.relayed.takeOutcomes(outcomes)
@@ -62,7 +62,7 @@
 	for id, o := range told {
 		outcomes[id] = worker.Outcomes{Succeeded: o.GetAnswered(), Failed: o.GetFailed()}
 	}
-	g.judge.AddOutcomes(outcomes)
+	g.outlierDetector.AddOutcomes(outcomes)
 	g.relayed.addOutcomes(outcomes)
 }
 
@@ -77,7 +77,7 @@
 // sparedMillis returns the workers that this VM, or the one that it asks, finds to
 // fail too much.
 func (g *Gateway) sparedMillis() map[string]uint32 {
-	spared := g.judge.Ejected()
+	spared := g.outlierDetector.Ejected()
 	g.relayed.addSpared(spared, clock.Now())
 	out := make(map[string]uint32, len(spared))
 	for id, left := range spared {
--- a/internal/gateway/peers.go
+++ b/internal/gateway/peers.go
@@ -106,7 +106,7 @@
 		return
 	}
 	defer g.pullMu.Unlock()
-	if _, err := g.askNews(context.Background(), question{from: from}); err != nil {
+	if _, err := g.syncFrom(context.Background(), syncRequest{from: from}); err != nil {
 		g.log.V(1).Info("peer: sync failed", "peer", from.VM, "error", err.Error())
 	}
 }
@@ -133,7 +133,7 @@
 		}
 		reply = &peerpb.Envelope{Kind: &peerpb.Envelope_Probe{Probe: g.probeMessage(from.VM)}}
 	case *peerpb.Envelope_Sync:
-		syncReply, onSent := g.tell(ctx, k.Sync)
+		syncReply, onSent := g.handleSync(ctx, k.Sync)
 		defer onSent()
 		reply = &peerpb.Envelope{Kind: &peerpb.Envelope_Synced{Synced: syncReply}}
 	case *peerpb.Envelope_Balance:
--- a/internal/gateway/quarantinestore.go
+++ b/internal/gateway/quarantinestore.go
@@ -34,15 +34,15 @@
 	for ; ctx.Err() == nil; g.quarantines.awaitSave(ctx) {
 		_, known := g.replica.CompleteUpTo(kind)
 		unsaved := g.unsaved(clock.Now())
-		if known && len(unsaved) == 0 && (!g.watches() || clock.Since(listed) < listInterval) {
+		if known && len(unsaved) == 0 && (!g.watchesStore() || clock.Since(listed) < listInterval) {
 			continue
 		}
-		g.gate.enter(ctx, g.longestWait())
+		g.storeBackoff.wait(ctx, g.maxStoreBackoff())
 		err := g.saveQuarantine(ctx, unsaved)
 		if err == nil {
 			err = g.listQuarantine(ctx, known && len(unsaved) == 0)
 		}
-		g.gate.ended(err)
+		g.storeBackoff.recordResult(err)
 		if err != nil {
 			g.log.V(1).Info("quarantine: the store does not answer", "unsaved", len(unsaved), "error", err.Error())
 			continue
@@ -58,7 +58,7 @@
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	return slices.DeleteFunc(q.table.Unstored(), func(e quarantine.Entry) bool {
-		return !q.found[e.Fingerprint] && (!g.watches() || now.Sub(e.Since) < saveForOthers)
+		return !q.found[e.Fingerprint] && (!g.watchesStore() || now.Sub(e.Since) < saveForOthers)
 	})
 }
 
@@ -85,7 +85,7 @@
 	}
 	g.replica.Reset(kind, objects, at)
 	g.compileQuarantine()
-	if !g.watches() {
+	if !g.watchesStore() {
 		return nil
 	}
 	for _, e := range g.quarantines.table.All() {
--- a/internal/gateway/rolloutloop.go
+++ b/internal/gateway/rolloutloop.go
@@ -58,18 +58,18 @@
 	g.waitForPeers(ctx, kind)
 	forgotten := false
 	for ctx.Err() == nil {
-		if _, known := g.replica.CompleteUpTo(kind); known && !g.watches() && !forgotten {
+		if _, known := g.replica.CompleteUpTo(kind); known && !g.watchesStore() && !forgotten {
 			select {
 			case <-ctx.Done():
-			case <-g.askedToWatch():
+			case <-g.watchRequested():
 			}
 			continue
 		}
-		g.gate.enter(ctx, g.longestWait())
-		_, err := g.follow(ctx, kind, rolloutHold, forgotten)
-		forgotten = errors.Is(err, ErrForgotten)
-		g.gate.ended(err)
-		g.knowledge.noteStore(kind, err)
+		g.storeBackoff.wait(ctx, g.maxStoreBackoff())
+		_, err := g.refresh(ctx, kind, rolloutHold, forgotten)
+		forgotten = errors.Is(err, ErrHistoryGone)
+		g.storeBackoff.recordResult(err)
+		g.knowledge.recordStoreCall(kind, err)
 	}
 }
 
@@ -86,7 +86,7 @@
 			wait = orderLook
 			continue
 		}
-		if !g.Ready() || !g.settled() || !g.controls() {
+		if !g.Ready() || !g.settled() || !g.isController() {
 			continue
 		}
 		seen := g.askRollouts(ctx, g.rolloutSteps(open))
@@ -108,7 +108,7 @@
 	}
 	before, left := o.decider.Phase(), end.Sub(now)
 	step := o.decider.Decide(rolling.Inputs{
-		Now: now, TimeLeft: left, Report: *seen, VMs: len(g.live()), Slots: g.usableSlots(o.service, worker.TrackNew), OldSlots: g.usableSlots(o.service, worker.TrackStable),
+		Now: now, TimeLeft: left, Report: *seen, VMs: len(g.liveMembers()), Slots: g.usableSlots(o.service, worker.TrackNew), OldSlots: g.usableSlots(o.service, worker.TrackStable),
 	})
 	if step.Phase != before {
 		g.log.Info("rollout: "+step.Phase.String(), "service", o.service, "version", o.name, "reason", step.Reason,
@@ -181,12 +181,12 @@
 		g.log.Error(err, "rollout: status", "service", next.Service)
 		return
 	}
-	g.gate.enter(ctx, longestRetry)
+	g.storeBackoff.wait(ctx, maxBackoff)
 	revision, err := g.cfg.Store.ReplaceStatus(ctx, g.cfg.Codec.RolloutKind(), next.Service, next.Revision, status)
 	if errors.Is(err, ErrConflict) {
-		g.gate.ended(nil) // The store answers.
+		g.storeBackoff.recordResult(nil) // The store answers.
 	} else {
-		g.gate.ended(err)
+		g.storeBackoff.recordResult(err)
 	}
 	if err != nil {
 		g.log.Info("rollout: status not written", "service", next.Service, "state", phase.String(), "error", err.Error())
@@ -335,7 +335,7 @@
 func (g *Gateway) askNeighbors(ctx context.Context, message *peerpb.Rollouts, seen map[*order]*rollout.Report) {
 	var mu sync.Mutex
 	var asked sync.WaitGroup
-	places := make(chan struct{}, reportsAtOnce)
+	places := make(chan struct{}, maxConcurrentReports)
 	for _, m := range g.inHall(g.cfg.Hall) {
 		places <- struct{}{}
 		asked.Go(func() {
--- a/internal/gateway/start.go
+++ b/internal/gateway/start.go
@@ -30,9 +30,9 @@
 	// By then the first VM has sent its state to the others of the hall.
 	listStagger  = 250 * time.Millisecond
 	maxListDelay = 1200 * time.Millisecond
-	// askedBeside is the tree depth in a request to a VM other than the parent. It is
+	// secondaryDepth is the tree depth in a request to a VM other than the parent. It is
 	// greater than 1, so that the receiver does not watch the store because of it.
-	askedBeside = 2
+	secondaryDepth = 2
 	// assumeLiveFor is how long after its start a VM assumes VMs to be live that it
 	// has not heard of.
 	assumeLiveFor = 15 * time.Second
@@ -75,12 +75,12 @@
 	}
 }
 
-// unheard returns the VMs that this VM assumes to be live without having heard of
+// assumedLive returns the VMs that this VM assumes to be live without having heard of
 // them, because it has just started: those in the list of VMs or, until it has that
 // list, those of its hall. News of all VMs takes several seconds to spread; without
 // the assumption each VM would choose from a different set, and many would watch the
 // store.
-func (g *Gateway) unheard(now time.Time) []membership.Member {
+func (g *Gateway) assumedLive(now time.Time) []membership.Member {
 	if now.Sub(g.bootstrapStart()) > assumeLiveFor {
 		return nil
 	}
@@ -139,7 +139,7 @@
 // secondarySource returns the VM of the hall that is asked in addition to the parent,
 // which may not have restarted yet and would then delay the start by a timeout.
 func (g *Gateway) secondarySource() (spec.VM, bool) {
-	asked := g.teller(clock.Now()).ID
+	asked := g.parent(clock.Now()).ID
 	ranked := g.rankHall()
 	at := slices.IndexFunc(ranked, func(id string) bool { return id != asked && id != g.cfg.VM })
 	if at < 0 {
@@ -150,7 +150,7 @@
 }
 
 func (g *Gateway) syncFromSecondary(ctx context.Context, vm spec.VM) {
-	if _, err := g.askNews(ctx, question{from: peer.Target{VM: vm.ID, Address: vm.Peer}, hold: maxSyncHold, depth: askedBeside}); err != nil {
+	if _, err := g.syncFrom(ctx, syncRequest{from: peer.Target{VM: vm.ID, Address: vm.Peer}, hold: maxSyncHold, depth: secondaryDepth}); err != nil {
 		g.log.V(1).Info("peer: sync with a VM of the hall failed", "peer", vm.ID, "error", err.Error())
 	}
 }
@@ -165,7 +165,7 @@
 	if seed == g.cfg.Peer {
 		return
 	}
-	if _, err := g.askNews(ctx, question{from: peer.Target{Address: seed}, hold: hold}); err != nil {
+	if _, err := g.syncFrom(ctx, syncRequest{from: peer.Target{Address: seed}, hold: hold}); err != nil {
 		g.log.V(1).Info("peer: sync with a seed failed", "seed", seed, "error", err.Error())
 	}
 }
--- a/internal/gateway/stop.go
+++ b/internal/gateway/stop.go
@@ -20,9 +20,9 @@
 	acceptFraction = 0.25
 	// shutdownMargin is kept between the end of the shutdown and SIGKILL.
 	shutdownMargin = 300 * time.Millisecond
-	// leavingTold bounds the VMs that a leaving VM notifies itself, and
+	// maxLeaveProbes bounds the VMs that a leaving VM notifies itself, and
 	// maxConcurrentLeaveProbes the concurrent notifications.
-	leavingTold, maxConcurrentLeaveProbes = 64, 16
+	maxLeaveProbes, maxConcurrentLeaveProbes = 64, 16
 )
 
 // stop shuts down gracefully: the VM stops being ready, leaves the directory of every
@@ -49,7 +49,7 @@
 // its last requests.
 func (g *Gateway) announceLeave(ctx context.Context) {
 	semaphore := make(chan struct{}, maxConcurrentLeaveProbes)
-	for _, m := range nearest(g.members.Others(), g.cfg.Hall, g.cfg.Halls, leavingTold) {
+	for _, m := range nearest(g.members.Others(), g.cfg.Hall, g.cfg.Halls, maxLeaveProbes) {
 		semaphore <- struct{}{}
 		go func() {
 			defer func() { <-semaphore }()
--- a/internal/gateway/storebackoff.go
+++ b/internal/gateway/storebackoff.go
@@ -23,9 +23,9 @@
 	next     time.Time
 }
 
-// enter waits until a call may be made; after failures the wait between two calls is
+// wait waits until a call may be made; after failures the wait between two calls is
 // longest at most.
-func (g *storeBackoff) enter(ctx context.Context, longest time.Duration) {
+func (g *storeBackoff) wait(ctx context.Context, longest time.Duration) {
 	for ctx.Err() == nil {
 		wait := g.reserve(clock.Now(), longest)
 		if wait <= 0 {
@@ -55,12 +55,12 @@
 	return 0
 }
 
-// ended records the result of a call. ErrHistoryGone counts as a response of the
+// recordResult records the result of a call. ErrHistoryGone counts as a response of the
 // store.
-func (g *storeBackoff) ended(err error) {
+func (g *storeBackoff) recordResult(err error) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if err == nil || errors.Is(err, ErrForgotten) {
+	if err == nil || errors.Is(err, ErrHistoryGone) {
 		g.failures = 0
 		return
 	}
--- a/internal/gateway/sync.go
+++ b/internal/gateway/sync.go
@@ -21,8 +21,8 @@
 	syncReplyGrace = 400 * time.Millisecond
 )
 
-// question is a request to another VM for changes of the replicated state.
-type question struct {
+// syncRequest is a request to another VM for changes of the replicated state.
+type syncRequest struct {
 	from peer.Target
 	// hold is how long the peer may delay its reply until there are changes. 0 marks a
 	// single request to a VM that is not the regular source.
@@ -31,11 +31,11 @@
 	depth int
 }
 
-// askNews asks a VM for the changes that this one lacks. The peer's state is at least
+// syncFrom asks a VM for the changes that this one lacks. The peer's state is at least
 // as new as the time of its reply minus the age it reports, and the reply is not sent
-// before the request was sent plus its hold. askNews returns the greatest age that the
+// before the request was sent plus its hold. syncFrom returns the greatest age that the
 // peer reports for a watched kind.
-func (g *Gateway) askNews(ctx context.Context, request question) (oldest time.Duration, err error) {
+func (g *Gateway) syncFrom(ctx context.Context, request syncRequest) (oldest time.Duration, err error) {
 	ctx, cancel := context.WithTimeout(ctx, request.hold+syncReplyGrace)
 	defer cancel()
 	sent := clock.Now()
@@ -69,7 +69,7 @@
 
 // syncMessage builds a request for changes. Only requests with a hold also carry the
 // state that the VMs of a region share.
-func (g *Gateway) syncMessage(request question) *peerpb.Sync {
+func (g *Gateway) syncMessage(request syncRequest) *peerpb.Sync {
 	message := &peerpb.Sync{
 		Since: g.replicaRevisions(), HoldMillis: uint32(request.hold.Milliseconds()), TakesListed: true, TakesPacked: true, Depth: uint32(request.depth),
 		Signals: g.toldSignals(),
@@ -126,9 +126,9 @@
 	return current
 }
 
-// tell answers a VM's request for changes, at the latest after the hold that the
+// handleSync answers a VM's request for changes, at the latest after the hold that the
 // request allows. The caller calls onSent once the reply has been sent.
-func (g *Gateway) tell(ctx context.Context, request *peerpb.Sync) (reply *peerpb.Synced, onSent func()) {
+func (g *Gateway) handleSync(ctx context.Context, request *peerpb.Sync) (reply *peerpb.Synced, onSent func()) {
 	if request.GetHoldMillis() > 0 && request.GetDepth() <= 1 {
 		g.watchers.recordRequest(clock.Now())
 	}
@@ -186,11 +186,11 @@
 		if confirmed := g.replica.ConfirmedAt(kind); !confirmed.IsZero() {
 			reply.AgeMillis[kind] = uint32(clock.Since(confirmed).Milliseconds()) + 1
 		}
-		if d, ok := g.lacks(request, kind); ok {
+		if d, ok := g.deltaFor(request, kind); ok {
 			reply.Deltas = append(reply.Deltas, g.deltaCache.delta(d, request.GetTakesPacked()))
 		}
 	}
-	return reply, g.largeReplies.bound(reply)
+	return reply, g.largeReplies.dropOversized(reply)
 }
 
 // addRegionState adds to a reply the state that the VMs of a region share besides the
@@ -203,11 +203,11 @@
 	if b := request.GetBalance(); b != nil {
 		reply.Balanced = toBalanced(g.balancer.table.DeltaSince(b.GetEpoch(), b.GetVersion()))
 	}
-	return g.largeReplies.boundTable(reply)
+	return g.largeReplies.dropOversizedTable(reply)
 }
 
-// lacks returns the changes of a kind that the requesting VM does not have.
-func (g *Gateway) lacks(request *peerpb.Sync, kind string) (object.Delta, bool) {
+// deltaFor returns the changes of a kind that the requesting VM does not have.
+func (g *Gateway) deltaFor(request *peerpb.Sync, kind string) (object.Delta, bool) {
 	since, known := request.GetSince()[kind]
 	d, ok := g.replica.Since(kind, since, known)
 	if d.Listed && !request.GetTakesListed() {
--- a/internal/gateway/traffic.go
+++ b/internal/gateway/traffic.go
@@ -71,7 +71,7 @@
 func (s trafficStore) readWithOperation(ctx context.Context) (t spec.Traffic, version uint64, operation string, err error) {
 	cfg := s.gateway.cfg
 	o, err := cfg.Store.Get(ctx, cfg.Codec.TrafficKind(), spec.SingletonName)
-	if errors.Is(err, ErrMissing) {
+	if errors.Is(err, ErrNotFound) {
 		return spec.Traffic{}, 0, "", nil
 	}
 	if err != nil {
@@ -146,7 +146,7 @@
 	var p intent.Plan
 	cfg := s.gateway.cfg
 	o, err := cfg.Store.Get(ctx, cfg.Codec.PlanKind(), id)
-	if errors.Is(err, ErrMissing) {
+	if errors.Is(err, ErrNotFound) {
 		return p, errors.Mark(err, traffic.ErrNoPlan)
 	}
 	if err != nil {
--- a/internal/gateway/watch.go
+++ b/internal/gateway/watch.go
@@ -16,8 +16,8 @@
 
 const (
 	// minBackoff and maxBackoff bound the wait after a failed call.
-	minBackoff   = 100 * time.Millisecond
-	longestRetry = 600 * time.Millisecond
+	minBackoff = 100 * time.Millisecond
+	maxBackoff = 600 * time.Millisecond
 	// maxFollowerBackoff is the upper bound for VMs that are not the root of their
 	// region. The roots retry sooner and pass the store's state on, which keeps the
 	// number of calls low during an outage.
@@ -50,7 +50,7 @@
 			g.waitForStoreCall(ctx, kind)
 			continue
 		}
-		g.gate.enter(ctx, g.longestWait())
+		g.storeBackoff.wait(ctx, g.maxStoreBackoff())
 		hold, due := g.storeCallDue(kind)
 		if !due {
 			continue // A peer has confirmed the replica meanwhile.
@@ -59,10 +59,10 @@
 			hold = min(hold, holdAfterEvents)
 		}
 		var err error
-		changed, err = g.follow(ctx, kind, hold, historyGone)
-		historyGone = errors.Is(err, ErrForgotten)
-		g.gate.ended(err)
-		g.knowledge.noteStore(kind, err)
+		changed, err = g.refresh(ctx, kind, hold, historyGone)
+		historyGone = errors.Is(err, ErrHistoryGone)
+		g.storeBackoff.recordResult(err)
+		g.knowledge.recordStoreCall(kind, err)
 		switch {
 		case err == nil && failures > 0:
 			g.log.Info("store: answers again", "kind", kind, "failures", failures)
@@ -81,7 +81,7 @@
 // store may hold the call.
 func (g *Gateway) storeCallDue(kind string) (time.Duration, bool) {
 	switch {
-	case g.watches():
+	case g.watchesStore():
 		return g.watchHoldFor(kind), true
 	case g.replica.Inconsistent(kind), clock.Since(g.replica.ConfirmedAt(kind)) >= g.cfg.StaleAfter:
 		return minHold, true
@@ -106,13 +106,13 @@
 	select {
 	case <-ctx.Done():
 	case <-timer.C:
-	case <-g.askedToWatch():
+	case <-g.watchRequested():
 	}
 }
 
-// follow makes one call: a watch from the known revision, or a list. It reports
+// refresh makes one call: a watch from the known revision, or a list. It reports
 // whether a watch returned events.
-func (g *Gateway) follow(ctx context.Context, kind string, hold time.Duration, list bool) (changed bool, err error) {
+func (g *Gateway) refresh(ctx context.Context, kind string, hold time.Duration, list bool) (changed bool, err error) {
 	since, known := g.replica.CompleteUpTo(kind)
 	started := clock.Now()
 	if !known || list || g.replica.Inconsistent(kind) {
@@ -137,13 +137,13 @@
 	}
 	g.replica.MarkConfirmed(kind, confirmed)
 	if len(events) > 0 {
-		sleep(ctx, g.gather())
+		sleep(ctx, g.coalesceDelay())
 	}
 	return len(events) > 0, nil
 }
 
-// gather returns how long to wait after events before the next watch.
-func (g *Gateway) gather() time.Duration {
+// coalesceDelay returns how long to wait after events before the next watch.
+func (g *Gateway) coalesceDelay() time.Duration {
 	return time.Duration(coalesceFraction * float64(g.cfg.Bounds.ApplyWithin))
 }
 
@@ -154,10 +154,10 @@
 	return wait/2 + rand.N(wait/2)
 }
 
-// longestWait returns this VM's upper bound for the wait between two failing calls.
-func (g *Gateway) longestWait() time.Duration {
+// maxStoreBackoff returns this VM's upper bound for the wait between two failing calls.
+func (g *Gateway) maxStoreBackoff() time.Duration {
 	if _, known := g.replica.CompleteUpTo(g.cfg.Codec.WorkerKind()); !known || g.isRegionRoot(clock.Now()) {
-		return longestRetry
+		return maxBackoff
 	}
 	return maxFollowerBackoff
 }
@@ -176,7 +176,7 @@
 		if err := g.cfg.Store.Put(ctx, g.cfg.Codec.MemberKind(), g.cfg.Codec.MemberName(g.vm()), entry); err == nil {
 			break
 		}
-		sleep(ctx, backoff(failures, longestRetry))
+		sleep(ctx, backoff(failures, maxBackoff))
 	}
 	g.listLoop(ctx, g.cfg.Codec.MemberKind())
 }
@@ -187,20 +187,20 @@
 	g.waitForPeers(ctx, kind)
 	wait := initialListInterval
 	for ctx.Err() == nil {
-		if _, known := g.replica.CompleteUpTo(kind); known && !g.watches() {
+		if _, known := g.replica.CompleteUpTo(kind); known && !g.watchesStore() {
 			sleep(ctx, initialListInterval)
 			continue
 		}
-		g.gate.enter(ctx, g.longestWait())
+		g.storeBackoff.wait(ctx, g.maxStoreBackoff())
 		objects, at, err := g.cfg.Store.List(ctx, kind, wait == listInterval)
-		g.gate.ended(err)
+		g.storeBackoff.recordResult(err)
 		if err == nil {
 			g.replica.Reset(kind, objects, at)
 			sleep(ctx, wait)
 			wait = listInterval
 			continue
 		}
-		sleep(ctx, longestRetry)
+		sleep(ctx, maxBackoff)
 	}
 }
 
--- a/internal/gateway/watchers.go
+++ b/internal/gateway/watchers.go
@@ -51,17 +51,17 @@
 	return &watchers{wake: make(chan struct{}), avoided: newAvoided()}
 }
 
-// watches reports whether this VM watches the store.
-func (g *Gateway) watches() bool {
+// watchesStore reports whether this VM watchesStore the store.
+func (g *Gateway) watchesStore() bool {
 	w := g.watchers
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.ownParent || clock.Since(w.lastRequest) < watchAfterRequest
 }
 
-// askedToWatch returns a channel that is closed once this VM has to check whether to
+// watchRequested returns a channel that is closed once this VM has to check whether to
 // watch the store.
-func (g *Gateway) askedToWatch() <-chan struct{} {
+func (g *Gateway) watchRequested() <-chan struct{} {
 	g.watchers.mu.Lock()
 	defer g.watchers.mu.Unlock()
 	return g.watchers.wake
@@ -116,9 +116,9 @@
 	return maxSyncHold
 }
 
-// teller returns the VM of this region to request changes from. It is this VM itself
+// parent returns the VM of this region to request changes from. It is this VM itself
 // if this VM is the root or all others are avoided.
-func (g *Gateway) teller(now time.Time) treeParent {
+func (g *Gateway) parent(now time.Time) treeParent {
 	return g.parentAmong(now, func(id string) bool { return g.watchers.avoided.has(id, now) })
 }
 
@@ -158,7 +158,7 @@
 			continue
 		}
 		now := clock.Now()
-		parent := g.teller(now)
+		parent := g.parent(now)
 		if parent.ID != current.vm {
 			current = parentChoice{vm: parent.ID, since: now}
 		}
@@ -186,11 +186,11 @@
 // parent. It returns the age of the parent's oldest state.
 func (g *Gateway) syncFromParent(ctx context.Context, parent treeParent) (time.Duration, error) {
 	if parent.ID != g.cfg.VM {
-		return g.askNews(ctx, question{from: peer.Target{VM: parent.ID, Address: parent.Peer}, hold: parent.hold(), depth: parent.depth})
+		return g.syncFrom(ctx, syncRequest{from: peer.Target{VM: parent.ID, Address: parent.Peer}, hold: parent.hold(), depth: parent.depth})
 	}
 	g.takeOutcomes()
 	sleep(ctx, selfParentInterval)
-	return g.age(), nil
+	return g.maxReplicaAge(), nil
 }
 
 // maxParentAge returns the age above which the state of a parent shows that the store
--- a/internal/program/gateway.go
+++ b/internal/program/gateway.go
@@ -96,9 +96,9 @@
 func meant(err error) error {
 	switch {
 	case errors.Is(err, platform.ErrForgotten):
-		return errors.Mark(err, gateway.ErrForgotten)
+		return errors.Mark(err, gateway.ErrHistoryGone)
 	case errors.Is(err, platform.ErrMissing):
-		return errors.Mark(err, gateway.ErrMissing)
+		return errors.Mark(err, gateway.ErrNotFound)
 	case errors.Is(err, platform.ErrExists):
 		return errors.Mark(err, gateway.ErrConflict)
 	}
--- a/internal/settings/gateway.go
+++ b/internal/settings/gateway.go
@@ -78,5 +78,5 @@
 	if err := json.Unmarshal([]byte(c.String("halls")), &cfg.Halls); err != nil {
 		return cfg, errors.Wrap(gateway.ErrConfig, "halls: want a JSON object of hall and region: "+err.Error())
 	}
-	return cfg, cfg.Check()
+	return cfg, cfg.Validate()
 }
