--- a/internal/gateway/avoided.go
+++ b/internal/gateway/avoided.go
@@ -8,11 +8,10 @@
 	"time"
 )
 
-// avoidFor is for how long a VM that did not answer is not asked.
-const avoidFor = 3 * time.Second
+// avoidDuration is how long an unresponsive VM is not contacted.
+const avoidDuration = 3 * time.Second
 
-// avoided holds the VMs that did not answer lately. It is safe for concurrent
-// use.
+// avoided holds the VMs that recently failed to respond. It is safe for concurrent use.
 type avoided struct {
 	mu    sync.Mutex
 	until map[string]time.Time
@@ -20,14 +19,14 @@
 
 func newAvoided() *avoided { return &avoided{until: make(map[string]time.Time)} }
 
-// add notes that a VM did not answer.
+// add records that a VM did not respond.
 func (a *avoided) add(id string, now time.Time) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.until[id] = now.Add(avoidFor)
+	a.until[id] = now.Add(avoidDuration)
 }
 
-// has reports whether a VM is to be avoided still.
+// has reports whether a VM is still to be avoided.
 func (a *avoided) has(id string, now time.Time) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/internal/gateway/candidates.go
+++ b/internal/gateway/candidates.go
@@ -10,27 +10,26 @@
 	"github.com/ryehill/ryehill/coordination/tree"
 )
 
-// candidates are VMs that one may be chosen from, by their ids. This VM itself is
-// always among them, so that a choice never fails.
+// candidates are the VMs to choose from, by ID. This VM is always among them, so that a
+// choice never fails.
 type candidates map[string]membership.Member
 
-// candidates returns this VM and the others that it takes to be live, as far as they
-// are wanted.
-func (g *Gateway) candidates(now time.Time, wanted func(membership.Member) bool) candidates {
+// candidates returns this VM and the live VMs for which include is true.
+func (g *Gateway) candidates(now time.Time, include func(membership.Member) bool) candidates {
 	self := g.members.Self()
 	c := candidates{self.ID: self}
 	for _, m := range append(g.live(), g.unheard(now)...) {
-		if m.ID != self.ID && wanted(m) {
+		if m.ID != self.ID && include(m) {
 			c[m.ID] = m
 		}
 	}
 	return c
 }
 
-// inRegion reports whether a VM is of this VM's region.
+// inRegion reports whether a VM is in this VM's region.
 func (g *Gateway) inRegion(m membership.Member) bool { return g.cfg.Halls[m.Hall] == g.region() }
 
-// vms returns the candidates as the tree ranks them.
+// vms returns the candidates as input for tree.Rank.
 func (c candidates) vms() []tree.VM {
 	vms := make([]tree.VM, 0, len(c))
 	for id, m := range c {
@@ -39,7 +38,8 @@
 	return vms
 }
 
-// first returns the candidate that all VMs which see the same ones choose for an item.
+// first returns the highest-ranked candidate for an item, the same at all VMs with the
+// same candidates.
 func (c candidates) first(item string) membership.Member {
 	return c[tree.Rank(item, c.vms())[0]]
 }
--- a/internal/gateway/keys.go
+++ b/internal/gateway/keys.go
@@ -14,98 +14,94 @@
 )
 
 const (
-	// keyQuestionInterval is the least time between two questions for newer keys
-	// that this VM asks, however many requests come with keys that nobody has: 4 a
-	// second, one more than it asks for news anyway.
-	keyQuestionInterval = 250 * time.Millisecond
-	// keyWait bounds how long a request with an unknown key waits for the answer:
-	// a question to another VM of the region and half a fresh connection, and less
-	// than half of the objective of the shortest requests served so far (400 ms).
-	keyWait = 150 * time.Millisecond
-	// keyBelieved is for how long a key that nobody knew is believed to be bad
-	// without another question.
-	keyBelieved = time.Second
-	// maxBadKeys bounds the bad keys that are remembered: 64 KB.
+	// keyFetchInterval is the minimum time between two fetches of keys by this VM,
+	// however many requests come with unknown keys.
+	keyFetchInterval = 250 * time.Millisecond
+	// keyFetchTimeout bounds how long a request with an unknown key waits for a fetch:
+	// time for a query to another VM of the region and part of a connection setup.
+	keyFetchTimeout = 150 * time.Millisecond
+	// badKeyTTL is how long an unknown key is rejected without another fetch.
+	badKeyTTL = time.Second
+	// maxBadKeys bounds the number of remembered bad keys.
 	maxBadKeys = 1024
-	// revokeMargin is kept of the time within which a key must be known to be taken
-	// away, for the way of the last request that was let pass.
+	// revokeMargin is subtracted from the time within which a key must be revoked, for
+	// requests that were admitted just before.
 	revokeMargin = 300 * time.Millisecond
 )
 
-// keyQuestions bounds the questions for newer keys. It is safe for concurrent use.
+// keyQuestions rate-limits fetches of keys. It is safe for concurrent use.
 type keyQuestions struct {
 	mu sync.Mutex
-	// last is when the last question was begun, answered is closed once it ended.
-	last     time.Time
-	answered chan struct{}
-	// bad holds the keys that nobody knew, by when that was.
-	bad map[workspace.Digest]time.Time
+	// lastFetch is when the last fetch began; fetchDone is closed when it ends.
+	lastFetch time.Time
+	fetchDone chan struct{}
+	// badKeys holds the time at which each unknown key was seen.
+	badKeys map[workspace.Digest]time.Time
 }
 
 func newKeyQuestions() *keyQuestions {
 	done := make(chan struct{})
 	close(done)
-	return &keyQuestions{answered: done, bad: make(map[workspace.Digest]time.Time)}
+	return &keyQuestions{fetchDone: done, badKeys: make(map[workspace.Digest]time.Time)}
 }
 
-// begin returns the channel that is closed once a question for a key is answered,
-// and whether the caller is to ask it. It returns nil for a key that is known to be
-// bad.
-func (k *keyQuestions) begin(key workspace.Digest, now time.Time) (answered chan struct{}, ask bool) {
+// begin returns a channel that is closed when the fetch for a key ends, and whether the
+// caller has to run that fetch. The channel is nil for a key that is known to be bad.
+func (k *keyQuestions) begin(key workspace.Digest, now time.Time) (done chan struct{}, fetch bool) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	if at, ok := k.bad[key]; ok && now.Sub(at) < keyBelieved {
+	if since, ok := k.badKeys[key]; ok && now.Sub(since) < badKeyTTL {
 		return nil, false
 	}
-	if len(k.bad) >= maxBadKeys {
-		clear(k.bad)
+	if len(k.badKeys) >= maxBadKeys {
+		clear(k.badKeys)
 	}
-	k.bad[key] = now
-	if now.Sub(k.last) < keyQuestionInterval {
-		return k.answered, false
+	k.badKeys[key] = now
+	if now.Sub(k.lastFetch) < keyFetchInterval {
+		return k.fetchDone, false
 	}
-	k.last, k.answered = now, make(chan struct{})
-	return k.answered, true
+	k.lastFetch, k.fetchDone = now, make(chan struct{})
+	return k.fetchDone, true
 }
 
-// forget ends the belief that keys are bad, as the configuration has changed.
+// forget clears the bad keys after a change of the configuration.
 func (k *keyQuestions) forget() {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	clear(k.bad)
+	clear(k.badKeys)
 }
 
-// Renew implements ingress.Keys. The question goes to the VM that this one asks for
-// news, and costs the store nothing.
+// Renew implements ingress.Keys. It queries the VM from which this one gets its updates,
+// not the store.
 func (g *Gateway) Renew(ctx context.Context, key workspace.Digest) {
-	answered, ask := g.keyQuestions.begin(key, clock.Now())
-	if answered == nil {
+	done, fetch := g.keyQuestions.begin(key, clock.Now())
+	if done == nil {
 		return
 	}
-	if ask {
+	if fetch {
 		go func() {
-			defer close(answered)
-			g.askForKeys()
+			defer close(done)
+			g.fetchKeys()
 		}()
 	}
-	ctx, cancel := context.WithTimeout(ctx, keyWait)
+	ctx, cancel := context.WithTimeout(ctx, keyFetchTimeout)
 	defer cancel()
 	select {
-	case <-answered:
+	case <-done:
 	case <-ctx.Done():
 	}
 }
 
-// askForKeys asks another VM for news once, and takes them in.
-func (g *Gateway) askForKeys() {
+// fetchKeys gets updates from another VM once and applies them.
+func (g *Gateway) fetchKeys() {
 	t := g.teller(clock.Now())
 	if t.ID == g.cfg.VM {
-		return // It watches the store itself.
+		return // This VM watches the store itself.
 	}
 	g.cfg.Metrics.KeyQuestion()
 	question := question{from: peer.Target{VM: t.ID, Address: t.Peer}, depth: askedBeside}
 	if _, err := g.askNews(context.Background(), question); err != nil {
-		g.log.V(1).Info("keys: no answer", "peer", t.ID, "error", err.Error())
+		g.log.V(1).Info("keys: fetch failed", "peer", t.ID, "error", err.Error())
 	}
 	g.awaitCompiled()
 }
@@ -118,22 +114,22 @@
 // Current implements ingress.Keys.
 func (g *Gateway) Current() bool { return g.configAge() < g.cfg.Bounds.ApplyWithin }
 
-// configAge returns how long ago the store last confirmed the configuration.
+// configAge returns the time since the store last confirmed the configuration.
 func (g *Gateway) configAge() time.Duration {
 	return clock.Since(g.replica.Confirmed(g.cfg.Codec.ConfigKind()))
 }
 
 const (
-	// compileWait bounds the wait until news that was taken in is in force, and
-	// compileLook is the time between two looks.
-	compileWait = 50 * time.Millisecond
-	compileLook = 2 * time.Millisecond
+	// compileWait bounds the wait for received configuration to be compiled;
+	// compilePollInterval is the time between two checks.
+	compileWait         = 50 * time.Millisecond
+	compilePollInterval = 2 * time.Millisecond
 )
 
-// awaitCompiled waits until the configuration that is known is in force.
+// awaitCompiled waits until the known configuration is compiled.
 func (g *Gateway) awaitCompiled() {
 	known := g.replica.Content(g.cfg.Codec.ConfigKind())
-	for begun := clock.Now(); g.compiledConfig.Load() < known && clock.Since(begun) < compileWait; {
-		time.Sleep(compileLook)
+	for start := clock.Now(); g.compiledConfig.Load() < known && clock.Since(start) < compileWait; {
+		time.Sleep(compilePollInterval)
 	}
 }
--- a/internal/gateway/outliers.go
+++ b/internal/gateway/outliers.go
@@ -14,52 +14,51 @@
 // maxOutcomes bounds the workers in one message.
 const maxOutcomes = 512
 
-// takeOutcomes judges by what this VM has seen since the last call, and returns
-// it, with what VMs that ask this one have seen, for the region's watcher, which adds
-// up what all VMs of the region saw.
+// takeOutcomes updates outlier detection with the outcomes that this VM has seen since
+// the last call. It returns them, merged with those of VMs that query this one, for the
+// watcher of the region, which sums up the outcomes of all its VMs.
 func (g *Gateway) takeOutcomes() map[string]worker.Outcomes {
 	outcomes := g.loads.DrainOutcomes(maxOutcomes)
 	g.judge.AddOutcomes(outcomes)
-	spared := g.judge.Ejected()
-	g.tellSpared(spared)
-	g.spare(spared)
+	ejected := g.judge.Ejected()
+	g.logEjected(ejected)
+	g.ejectWorkers(ejected)
 	g.relayed.takeOutcomes(outcomes)
 	return outcomes
 }
 
-// spare sends nothing to workers for a while, whether this VM has dealt with them or
-// not: at 295 VMs most have not, and each would find out by a request of its own.
-func (g *Gateway) spare(workers map[string]time.Duration) {
+// ejectWorkers ejects workers for a while, including those this VM has not sent requests
+// to: otherwise each VM would have to fail a request first.
+func (g *Gateway) ejectWorkers(workers map[string]time.Duration) {
 	s := g.snapshot.Load()
 	if s == nil {
 		return
 	}
-	for id, left := range workers {
+	for id, remaining := range workers {
 		if !s.Workers.HasIncarnation(id) {
 			continue
 		}
-		g.loads.GetOrCreate(id).Eject(left)
+		g.loads.GetOrCreate(id).Eject(remaining)
 	}
 }
 
-// tellSpared logs the workers that this VM itself finds to fail. Those of which others
-// tell it are logged there: 295 VMs would write 76,000 lines a minute in place of some
-// hundred.
-func (g *Gateway) tellSpared(workers map[string]time.Duration) {
-	for id, left := range workers {
+// logEjected logs the workers that this VM itself ejects. Ejections reported by other VMs
+// are only logged there, which bounds the number of log lines.
+func (g *Gateway) logEjected(workers map[string]time.Duration) {
+	for id, remaining := range workers {
 		if !g.loads.GetOrCreate(id).Ejected() {
-			g.log.Info("workers: one fails too much and is spared", "worker", id, "for_ms", left.Milliseconds())
+			g.log.Info("workers: failing worker ejected", "worker", id, "for_ms", remaining.Milliseconds())
 		}
 	}
 }
 
-// hearOutcomes takes in what another VM has seen.
-func (g *Gateway) hearOutcomes(told map[string]*peerpb.Outcomes) {
-	if len(told) == 0 || len(told) > maxOutcomes {
+// hearOutcomes adds the outcomes reported by another VM.
+func (g *Gateway) hearOutcomes(reported map[string]*peerpb.Outcomes) {
+	if len(reported) == 0 || len(reported) > maxOutcomes {
 		return
 	}
-	outcomes := make(map[string]worker.Outcomes, len(told))
-	for id, o := range told {
+	outcomes := make(map[string]worker.Outcomes, len(reported))
+	for id, o := range reported {
 		outcomes[id] = worker.Outcomes{Succeeded: o.GetAnswered(), Failed: o.GetFailed()}
 	}
 	g.judge.AddOutcomes(outcomes)
@@ -74,24 +73,24 @@
 	return out
 }
 
-// sparedMillis returns the workers that this VM, or the one that it asks, finds to
-// fail too much.
+// sparedMillis returns the workers ejected by this VM or by the one it queries, with the
+// remaining time in milliseconds.
 func (g *Gateway) sparedMillis() map[string]uint32 {
-	spared := g.judge.Ejected()
-	g.relayed.addSpared(spared, clock.Now())
-	out := make(map[string]uint32, len(spared))
-	for id, left := range spared {
-		out[id] = uint32(left.Milliseconds())
+	ejected := g.judge.Ejected()
+	g.relayed.addSpared(ejected, clock.Now())
+	out := make(map[string]uint32, len(ejected))
+	for id, remaining := range ejected {
+		out[id] = uint32(remaining.Milliseconds())
 	}
 	return out
 }
 
-// hearSpared takes in which workers the region's watcher finds to fail too much.
-func (g *Gateway) hearSpared(told map[string]uint32) {
-	spared := make(map[string]time.Duration, len(told))
-	for id, millis := range told {
-		spared[id] = time.Duration(millis) * time.Millisecond
+// hearSpared applies the ejections sent by the region's watcher.
+func (g *Gateway) hearSpared(reported map[string]uint32) {
+	ejected := make(map[string]time.Duration, len(reported))
+	for id, millis := range reported {
+		ejected[id] = time.Duration(millis) * time.Millisecond
 	}
-	g.spare(spared)
-	g.relayed.spare(spared, clock.Now())
+	g.ejectWorkers(ejected)
+	g.relayed.spare(ejected, clock.Now())
 }
--- a/internal/gateway/permits.go
+++ b/internal/gateway/permits.go
@@ -19,35 +19,36 @@
 )
 
 const (
-	// permitWait bounds for how long a request waits for a permit. The question itself goes
-	// on for up to probeTimeout: over a long way the first one has to connect as well.
-	permitWait = 150 * time.Millisecond
-	// permitWindow is the longest time after which a denied request is told to come back.
-	permitWindow = time.Second
-	// noIssuerWait is the same if there is no VM to ask.
-	noIssuerWait = 200 * time.Millisecond
-	// maxPermitLives bounds the workers of one question, and maxPermitsWanted the requests
-	// to one of them.
-	maxPermitLives   = 1024
+	// permitTimeout bounds how long a request waits for a permit. The query itself runs
+	// for up to probeTimeout, since over a long distance the first one also has to
+	// connect.
+	permitTimeout = 150 * time.Millisecond
+	// maxPermitRetryAfter is the longest retry delay of a denied request.
+	maxPermitRetryAfter = time.Second
+	// noIssuerRetryAfter is the retry delay when there is no issuer to query.
+	noIssuerRetryAfter = 200 * time.Millisecond
+	// maxPermitWorkers bounds the workers in one query, maxPermitsWanted the requests for
+	// each of them.
+	maxPermitWorkers = 1024
 	maxPermitsWanted = 1 << 12
-	// maxBorrowers bounds the issuers and priorities for which questions are gathered.
+	// maxBorrowers bounds the pairs of issuer and priority with batched queries.
 	maxBorrowers = 4096
 )
 
-// Results of a wanted permit.
+// Results of a permit request, as metric labels.
 const (
 	permitGranted = "granted"
 	permitDenied  = "denied"
 )
 
-// issuerKey is whom permits of one priority are asked of.
+// issuerKey identifies the batched queries to one issuer for one priority.
 type issuerKey struct {
 	vm       string
 	priority int
 }
 
-// permits implements placement.Permits: each worker that names a limit has one VM that
-// hands out what it takes from all. It is safe for concurrent use.
+// permits implements placement.Permits: for each worker with a rate limit, one VM issues
+// the permits for all VMs. It is safe for concurrent use.
 type permits struct {
 	gateway *Gateway
 	issuer  *ratelimit.Issuer
@@ -64,16 +65,16 @@
 }
 
 // Acquire implements placement.Permits.
-func (p *permits) Acquire(w *worker.Worker, perS float64, priority int) (wait time.Duration, ok bool) {
+func (p *permits) Acquire(w *worker.Worker, ratePerSecond float64, priority int) (wait time.Duration, ok bool) {
 	vm, found := p.issuerOf(w)
 	switch {
 	case !found:
-		wait = noIssuerWait
+		wait = noIssuerRetryAfter
 	case vm == p.gateway.cfg.VM:
-		grant := p.issue(w, perS, priority, 1)
+		grant := p.issue(w, ratePerSecond, priority, 1)
 		wait, ok = grant.RetryAfter, grant.Requests > 0
 	default:
-		ctx, cancel := context.WithTimeout(context.Background(), permitWait)
+		ctx, cancel := context.WithTimeout(context.Background(), permitTimeout)
 		defer cancel()
 		wait, ok = p.borrower(issuerKey{vm, priority}).TakeToken(ctx, w.Incarnation())
 	}
@@ -85,10 +86,10 @@
 	return wait, ok
 }
 
-// issuerOf returns the VM that hands out what a worker takes: one of its region, or any if
-// none of that is live. A VM that has just started knows of none. One that does not answer
-// is not passed over until it is known to be gone: VMs that each turn to another would hand
-// out the limit several times.
+// issuerOf returns the VM that issues permits for a worker: a VM of the worker's region,
+// or any if none there is live. There is none while a starting VM knows no other. An
+// unresponsive issuer is kept until it is known to be gone: if VMs switched to different
+// issuers, the limit would be granted several times.
 func (p *permits) issuerOf(w *worker.Worker) (vm string, found bool) {
 	g := p.gateway
 	live, _ := g.Live(w.Region)
@@ -105,18 +106,18 @@
 	return first[0], true
 }
 
-// issue hands out requests to a worker, if this VM takes itself for the one that does so.
-func (p *permits) issue(w *worker.Worker, perS float64, priority, wanted int) ratelimit.Grant {
+// issue grants requests to a worker if this VM is the worker's issuer.
+func (p *permits) issue(w *worker.Worker, ratePerSecond float64, priority, wanted int) ratelimit.Grant {
 	live, listed := p.gateway.Live(w.Region)
 	if vm, found := p.issuerOf(w); listed == 0 || !found || vm != p.gateway.cfg.VM {
-		return ratelimit.Grant{RetryAfter: noIssuerWait}
+		return ratelimit.Grant{RetryAfter: noIssuerRetryAfter}
 	}
 	return p.issuer.Issue(ratelimit.Demand{
-		Instance: w.Incarnation(), RatePerSecond: perS, LiveVMs: len(live), ListedVMs: listed, Priority: priority, Requests: wanted,
+		Instance: w.Incarnation(), RatePerSecond: ratePerSecond, LiveVMs: len(live), ListedVMs: listed, Priority: priority, Requests: wanted,
 	})
 }
 
-// borrower returns what gathers the questions to a VM.
+// borrower returns the borrower that batches queries to an issuer.
 func (p *permits) borrower(key issuerKey) *ratelimit.Borrower {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -126,26 +127,26 @@
 			clear(p.borrowers)
 		}
 		b = ratelimit.NewBorrower(ratelimit.BorrowerConfig{
-			QueryPool: func(want ratelimit.RequestCounts) (ratelimit.Grants, error) { return p.ask(key, want) }, Window: permitWindow, Now: clock.Now,
+			QueryPool: func(want ratelimit.RequestCounts) (ratelimit.Grants, error) { return p.queryIssuer(key, want) }, Window: maxPermitRetryAfter, Now: clock.Now,
 		})
 		p.borrowers[key] = b
 	}
 	return b
 }
 
-// ask asks another VM for requests to workers, by their lives.
-func (p *permits) ask(key issuerKey, want ratelimit.RequestCounts) (ratelimit.Grants, error) {
+// queryIssuer requests permits from another VM, by the incarnations of workers.
+func (p *permits) queryIssuer(key issuerKey, wanted ratelimit.RequestCounts) (ratelimit.Grants, error) {
 	g := p.gateway
 	m, known := g.members.Member(key.vm)
 	if !known {
-		return nil, errors.Newf("permits: %s is not known any more", key.vm)
+		return nil, errors.Newf("permits: issuer %s is no longer a member", key.vm)
 	}
-	demand := &peerpb.PermitDemand{Priority: uint32(key.priority), Signals: p.toldLimits(want)}
-	for life, n := range want {
-		if len(demand.GetLives()) == maxPermitLives {
+	demand := &peerpb.PermitDemand{Priority: uint32(key.priority), Signals: p.limitSignals(wanted)}
+	for incarnation, n := range wanted {
+		if len(demand.GetLives()) == maxPermitWorkers {
 			break
 		}
-		demand.Lives, demand.Wanted = append(demand.GetLives(), life), append(demand.GetWanted(), uint32(min(n, maxPermitsWanted)))
+		demand.Lives, demand.Wanted = append(demand.GetLives(), incarnation), append(demand.GetWanted(), uint32(min(n, maxPermitsWanted)))
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), probeTimeout)
 	defer cancel()
@@ -153,70 +154,70 @@
 	g.cfg.Metrics.PeerCall("permits", err)
 	answer := reply.GetPermits()
 	if err == nil && (len(answer.GetGranted()) != len(demand.GetLives()) || len(answer.GetWaitMillis()) != len(demand.GetLives())) {
-		err = errors.Newf("permits: %s answers something else", m.ID)
+		err = errors.Newf("permits: invalid response from %s", m.ID)
 	}
 	if err != nil {
-		g.log.V(1).Info("permits: the VM that hands them out does not answer", "peer", m.ID, "error", err.Error())
+		g.log.V(1).Info("permits: query to issuer failed", "peer", m.ID, "error", err.Error())
 		return nil, err
 	}
 	g.hearSignals(m.ID, answer.GetSignals())
-	granted := make(ratelimit.Grants, len(want))
-	for i, life := range demand.GetLives() {
-		granted[life] = ratelimit.Grant{
+	granted := make(ratelimit.Grants, len(wanted))
+	for i, incarnation := range demand.GetLives() {
+		granted[incarnation] = ratelimit.Grant{
 			Requests:   int(answer.GetGranted()[i]),
-			RetryAfter: min(time.Duration(answer.GetWaitMillis()[i])*time.Millisecond, permitWindow),
+			RetryAfter: min(time.Duration(answer.GetWaitMillis()[i])*time.Millisecond, maxPermitRetryAfter),
 		}
 	}
 	return granted, nil
 }
 
-// toldLimits returns what is known of the limits of some workers.
-func (p *permits) toldLimits(want ratelimit.RequestCounts) map[string]*peerpb.WorkerSignals {
+// limitSignals returns the known rate limits of the given workers.
+func (p *permits) limitSignals(wanted ratelimit.RequestCounts) map[string]*peerpb.WorkerSignals {
 	now, limited := clock.Now(), p.gateway.loads.Constrained()
-	told := make(map[string]*peerpb.WorkerSignals, len(want))
-	for life := range want {
-		if load, ok := limited[life]; ok && len(told) < maxSignals {
-			told[life] = toldLimit(now, load.RateLimit())
+	signals := make(map[string]*peerpb.WorkerSignals, len(wanted))
+	for incarnation := range wanted {
+		if load, ok := limited[incarnation]; ok && len(signals) < maxSignals {
+			signals[incarnation] = limitMessage(now, load.RateLimit())
 		}
 	}
-	return told
+	return signals
 }
 
-// answer hands out requests to another VM.
+// answer handles a permit query from another VM.
 func (p *permits) answer(from string, demand *peerpb.PermitDemand) *peerpb.Permits {
 	g := p.gateway
 	g.hearSignals(from, demand.GetSignals())
-	lives, wanted := demand.GetLives(), demand.GetWanted()
-	lives = lives[:min(len(lives), len(wanted), maxPermitLives)]
-	answer, want := &peerpb.Permits{}, make(ratelimit.RequestCounts, len(lives))
-	for i, life := range lives {
+	incarnations, wanted := demand.GetLives(), demand.GetWanted()
+	incarnations = incarnations[:min(len(incarnations), len(wanted), maxPermitWorkers)]
+	answer, want := &peerpb.Permits{}, make(ratelimit.RequestCounts, len(incarnations))
+	for i, incarnation := range incarnations {
 		n := int(min(wanted[i], maxPermitsWanted))
-		grant := p.issueLife(life, int(min(demand.GetPriority(), maxPriority)), n)
+		grant := p.issueLife(incarnation, int(min(demand.GetPriority(), maxPriority)), n)
 		answer.Granted = append(answer.Granted, uint32(grant.Requests))
 		answer.WaitMillis = append(answer.WaitMillis, uint32(grant.RetryAfter.Milliseconds()))
-		want[life] = n
+		want[incarnation] = n
 	}
-	answer.Signals = p.toldLimits(want)
+	answer.Signals = p.limitSignals(want)
 	return answer
 }
 
-// maxPriority bounds the priority of a question.
+// maxPriority bounds the priority in a query.
 const maxPriority = 1 << 10
 
-// issueLife hands out requests to a worker by the limit that this VM knows. One that names
-// none takes all.
-func (p *permits) issueLife(life string, priority, wanted int) ratelimit.Grant {
+// issueLife grants requests to a worker by the limit known to this VM. A worker without a
+// limit is granted all.
+func (p *permits) issueLife(incarnation string, priority, wanted int) ratelimit.Grant {
 	s := p.gateway.snapshot.Load()
 	if s == nil {
-		return ratelimit.Grant{RetryAfter: noIssuerWait}
+		return ratelimit.Grant{RetryAfter: noIssuerRetryAfter}
 	}
-	w, ok := s.Workers.ByIncarnation(life)
+	w, ok := s.Workers.ByIncarnation(incarnation)
 	if !ok {
-		return ratelimit.Grant{RetryAfter: noIssuerWait}
+		return ratelimit.Grant{RetryAfter: noIssuerRetryAfter}
 	}
-	perS, limited := p.gateway.loads.RateLimit(w)
+	ratePerSecond, limited := p.gateway.loads.RateLimit(w)
 	if !limited {
 		return ratelimit.Grant{Requests: wanted}
 	}
-	return p.issue(w, perS, priority, wanted)
+	return p.issue(w, ratePerSecond, priority, wanted)
 }
--- a/internal/gateway/quarantine.go
+++ b/internal/gateway/quarantine.go
@@ -18,51 +18,52 @@
 )
 
 const (
-	// quarantineLook is the time between two looks at what there is to tell or to find.
-	quarantineLook = 50 * time.Millisecond
-	// hangUpSettles is for how long a hang-up is kept back: a request that is tried
-	// again and answered meanwhile is not worth a message.
-	hangUpSettles = 150 * time.Millisecond
-	// detectors is how many VMs of the fleet collect hang-ups, so that one may be lost,
-	// and detectorTries how many are tried in their place.
-	detectors, detectorTries = 2, 6
-	// quarantineTries is how often a VM that does not answer is told of an entry: with
-	// probeTimeout for each, a VM that is put off for two seconds hears of it.
-	quarantineTries = 3
-	// maxHangUps bounds the hang-ups that wait to be told, and those of one message.
+	// quarantinePollInterval is the time between two checks for hang-ups to report or to
+	// analyze.
+	quarantinePollInterval = 50 * time.Millisecond
+	// hangUpReportDelay is how long a hang-up is held back: if a retry of the request is
+	// answered in that time, nothing is reported.
+	hangUpReportDelay = 150 * time.Millisecond
+	// detectorCount is the number of VMs of the fleet that collect hang-ups, so that one
+	// may fail; maxDetectorAttempts is how many VMs are tried for these roles.
+	detectorCount, maxDetectorAttempts = 2, 6
+	// quarantineAttempts is the number of attempts to send an entry to a VM. Together
+	// with probeTimeout they reach a VM that stalls for two seconds.
+	quarantineAttempts = 3
+	// maxHangUps bounds the hang-ups waiting to be reported, and those in one message.
 	maxHangUps = 512
-	// maxQuarantineTold bounds the entries of one message.
-	maxQuarantineTold = 64
+	// maxMessageEntries bounds the entries in one message.
+	maxMessageEntries = 64
 )
 
-// quarantines is this VM's part in keeping requests that end workers from them. VMs
-// tell hang-ups to the first two VMs of the fleet in a rank that all agree on, as far as
-// they see the same VMs. Those find out which request is the cause, and tell all others,
-// hall by hall; the store keeps it for VMs that start. Without the store VMs still hear
-// of it, and a VM that reaches no other one finds out by itself. It is safe for
-// concurrent use.
+// quarantines is this VM's part in quarantining requests that crash workers. VMs report
+// hang-ups to the first two VMs of a ranking that is the same at all VMs with the same
+// view of the fleet. Those two detect which request is the cause and broadcast it, hall
+// by hall; the store keeps it for VMs that start later. Entries still spread while the
+// store is unavailable, and a VM that reaches no other one runs detection on its own
+// hang-ups. It is safe for concurrent use.
 type quarantines struct {
 	table    *quarantine.Table
 	detector *poison.Detector
-	memory   *poison.History
+	history  *poison.History
 
 	mu sync.Mutex
-	// hangUps and answered are what is to be told.
+	// hangUps and answered wait to be reported.
 	hangUps  []poison.HangUp
 	answered []quarantine.Fingerprint
-	// found are the entries that this VM made, until the store has them.
-	found map[quarantine.Fingerprint]bool
-	// save wakes the loop that saves them, wake the one that tells and finds.
+	// detected marks the entries made by this VM, which has to store them.
+	detected map[quarantine.Fingerprint]bool
+	// save wakes the loop that stores entries, wake the one that reports and detects.
 	save, wake chan struct{}
-	// compiled is the revision of the store's entries that were taken in.
-	compiled uint64
+	// compiledRevision is the content revision of the stored entries last applied.
+	compiledRevision uint64
 }
 
 func newQuarantines() *quarantines {
 	table := quarantine.NewTable()
 	return &quarantines{
-		table: table, detector: poison.New(poison.Config{Known: table.Get, Now: clock.Now}), memory: poison.NewHistory(clock.Now),
-		found: make(map[quarantine.Fingerprint]bool), save: make(chan struct{}, 1), wake: make(chan struct{}, 1),
+		table: table, detector: poison.New(poison.Config{Known: table.Get, Now: clock.Now}), history: poison.NewHistory(clock.Now),
+		detected: make(map[quarantine.Fingerprint]bool), save: make(chan struct{}, 1), wake: make(chan struct{}, 1),
 	}
 }
 
@@ -73,7 +74,7 @@
 
 // HungUp implements ingress.Quarantine.
 func (q *quarantines) HungUp(h poison.HangUp) {
-	if !q.memory.RecordHangUp(h.Fingerprint) {
+	if !q.history.RecordHangUp(h.Fingerprint) {
 		return
 	}
 	q.mu.Lock()
@@ -84,7 +85,7 @@
 	notify(q.wake)
 }
 
-// notify wakes whoever waits for a signal, now or next.
+// notify sends a signal without blocking; a signal that is already pending suffices.
 func notify(signal chan<- struct{}) {
 	select {
 	case signal <- struct{}{}:
@@ -94,7 +95,7 @@
 
 // Answered implements ingress.Quarantine.
 func (q *quarantines) Answered(f quarantine.Fingerprint) {
-	if !q.memory.RecordAnswer(f) {
+	if !q.history.RecordAnswer(f) {
 		return
 	}
 	q.mu.Lock()
@@ -113,14 +114,14 @@
 }
 
 // HangUps implements ingress.Quarantine.
-func (q *quarantines) HangUps(f quarantine.Fingerprint) int { return q.memory.HangUps(f) }
+func (q *quarantines) HangUps(f quarantine.Fingerprint) int { return q.history.HangUps(f) }
 
-// take returns what is to be told now.
-func (q *quarantines) take(now time.Time) (due []poison.HangUp, answered []quarantine.Fingerprint) {
+// takeDue removes and returns the hang-ups and answers that are due to be reported.
+func (q *quarantines) takeDue(now time.Time) (due []poison.HangUp, answered []quarantine.Fingerprint) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	n := 0
-	for n < len(q.hangUps) && now.Sub(q.hangUps[n].At) >= hangUpSettles {
+	for n < len(q.hangUps) && now.Sub(q.hangUps[n].At) >= hangUpReportDelay {
 		n++
 	}
 	due, q.hangUps = q.hangUps[:n:n], append([]poison.HangUp(nil), q.hangUps[n:]...)
@@ -128,17 +129,17 @@
 	return due, answered
 }
 
-// noteFound notes that this VM is to save an entry.
-func (q *quarantines) noteFound(f quarantine.Fingerprint) {
+// recordDetected marks an entry as one that this VM has to store.
+func (q *quarantines) recordDetected(f quarantine.Fingerprint) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	q.found[f] = true
+	q.detected[f] = true
 	notify(q.save)
 }
 
-// awaitSave waits until there is an entry to save, or for a while.
+// awaitSave waits until there is an entry to store, or for savePollInterval.
 func (q *quarantines) awaitSave(ctx context.Context) {
-	timer := time.NewTimer(saveLook)
+	timer := time.NewTimer(savePollInterval)
 	defer timer.Stop()
 	select {
 	case <-ctx.Done():
@@ -147,15 +148,15 @@
 	}
 }
 
-// idle reports whether there is nothing to tell or to find.
+// idle reports whether there is nothing to report or to detect.
 func (q *quarantines) idle() bool {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	return len(q.hangUps)+len(q.answered) == 0 && q.detector.Idle()
 }
 
-// quarantineLoop tells hang-ups, and finds out what ends workers from those that this
-// VM is told.
+// quarantineLoop reports hang-ups and detects, from those reported to this VM, which
+// requests crash workers.
 func (g *Gateway) quarantineLoop(ctx context.Context) {
 	q := g.quarantines
 	for ctx.Err() == nil {
@@ -165,108 +166,108 @@
 			case <-q.wake:
 			}
 		}
-		sleep(ctx, quarantineLook)
-		if due, answered := q.take(clock.Now()); len(due)+len(answered) > 0 {
-			go g.tellHangUps(due, answered)
+		sleep(ctx, quarantinePollInterval)
+		if due, answered := q.takeDue(clock.Now()); len(due)+len(answered) > 0 {
+			go g.reportHangUps(due, answered)
 		}
 		for _, e := range q.detector.Detect() {
-			g.quarantineFound(e)
+			g.quarantineRequest(e)
 		}
 	}
 }
 
-// tellHangUps tells hang-ups to the VMs that collect them. A VM that reaches none
-// collects its own.
-func (g *Gateway) tellHangUps(hangUps []poison.HangUp, answered []quarantine.Fingerprint) {
+// reportHangUps reports hang-ups to the VMs that collect them. If none can be reached,
+// this VM collects its own.
+func (g *Gateway) reportHangUps(hangUps []poison.HangUp, answered []quarantine.Fingerprint) {
 	ranked := g.candidates(clock.Now(), func(membership.Member) bool { return true }).ranked("quarantine")
-	var told sync.WaitGroup
-	reached := make([]bool, detectors)
-	for first := range detectors {
-		told.Go(func() {
-			for at := first; at < min(len(ranked), detectorTries) && !reached[first]; at += detectors {
-				reached[first] = g.tellHangUpsTo(ranked[at], hangUps, answered)
+	var wg sync.WaitGroup
+	reached := make([]bool, detectorCount)
+	for first := range detectorCount {
+		wg.Go(func() {
+			for at := first; at < min(len(ranked), maxDetectorAttempts) && !reached[first]; at += detectorCount {
+				reached[first] = g.reportHangUpsTo(ranked[at], hangUps, answered)
 			}
 		})
 	}
-	told.Wait()
+	wg.Wait()
 	for _, ok := range reached {
 		if ok {
 			return
 		}
 	}
-	g.log.Info("quarantine: no VM that collects hang-ups answers", "hang_ups", len(hangUps))
+	g.log.Info("quarantine: no detector VM reachable, hang-ups collected locally", "hang_ups", len(hangUps))
 	g.collectHangUps(hangUps, answered)
 }
 
-func (g *Gateway) tellHangUpsTo(m membership.Member, hangUps []poison.HangUp, answered []quarantine.Fingerprint) bool {
+func (g *Gateway) reportHangUpsTo(m membership.Member, hangUps []poison.HangUp, answered []quarantine.Fingerprint) bool {
 	if m.ID == g.cfg.VM {
 		g.collectHangUps(hangUps, answered)
 		return true
 	}
 	message := &peerpb.Envelope{Kind: &peerpb.Envelope_HangUps{HangUps: toHangUps(hangUps, answered, clock.Now())}}
-	reply, err := g.callOfQuarantine(m, message)
+	reply, err := g.callQuarantine(m, message)
 	if err != nil {
-		g.log.Info("quarantine: hang-ups not told", "peer", m.ID, "error", err.Error())
+		g.log.Info("quarantine: hang-ups not delivered", "peer", m.ID, "error", err.Error())
 		return false
 	}
-	g.takeEntries(m.ID, reply.GetEntries())
+	g.applyEntries(m.ID, reply.GetEntries())
 	return true
 }
 
-// collectHangUps takes in hang-ups, and returns the entries of those requests that are held
-// already.
+// collectHangUps adds reported hang-ups to the detector and returns the active entries of
+// their requests.
 func (g *Gateway) collectHangUps(hangUps []poison.HangUp, answered []quarantine.Fingerprint) []quarantine.Entry {
 	q, now := g.quarantines, clock.Now()
-	var known []quarantine.Entry
+	var quarantined []quarantine.Entry
 	for _, h := range hangUps {
 		q.detector.Add(h)
-		if e, ok := q.table.Get(h.Fingerprint); ok && e.Active(now) && len(known) < maxQuarantineTold {
-			known = append(known, e)
+		if e, ok := q.table.Get(h.Fingerprint); ok && e.Active(now) && len(quarantined) < maxMessageEntries {
+			quarantined = append(quarantined, e)
 		}
 	}
 	for _, f := range answered {
 		q.detector.RecordAnswer(f)
 	}
 	notify(q.wake)
-	return known
+	return quarantined
 }
 
-// quarantineFound holds a request that was found to end workers, and tells all VMs.
-func (g *Gateway) quarantineFound(e quarantine.Entry) {
+// quarantineRequest quarantines a request that was found to crash workers and informs all
+// VMs.
+func (g *Gateway) quarantineRequest(e quarantine.Entry) {
 	if !g.quarantines.table.Hear(e) {
 		return
 	}
-	g.quarantines.noteFound(e.Fingerprint)
-	g.log.Info("quarantine: a request ends workers and is held", "fingerprint", e.Fingerprint.String(), "subject", e.Subject,
+	g.quarantines.recordDetected(e.Fingerprint)
+	g.log.Info("quarantine: request that crashes workers quarantined", "fingerprint", e.Fingerprint.String(), "subject", e.Subject,
 		"service", e.Service, "workers", e.Workers, "times", e.Times, "until", e.Until)
 	g.cfg.Metrics.Quarantined(g.quarantines.table.Len())
-	go g.tellQuarantine([]quarantine.Entry{e}, nil)
+	go g.broadcastQuarantine([]quarantine.Entry{e}, nil)
 }
 
-// tellQuarantine tells all VMs of entries, and of requests that may run again: those
-// of its own hall itself, one of each other hall that passes it on. With 780 VMs in 21
-// halls that is 57 calls, and none of the VMs makes more.
-func (g *Gateway) tellQuarantine(entries []quarantine.Entry, released []quarantine.Fingerprint) {
+// broadcastQuarantine sends entries and releases to all VMs: directly to those of its own
+// hall, and to one VM of each other hall, which forwards them there.
+func (g *Gateway) broadcastQuarantine(entries []quarantine.Entry, released []quarantine.Fingerprint) {
 	message := &peerpb.Quarantine{Entries: g.encodeEntries(entries)}
 	for _, f := range released {
 		message.Released = append(message.Released, f[:])
 	}
-	g.tellHall(message)
+	g.sendToHall(message)
 	message = &peerpb.Quarantine{Entries: message.GetEntries(), Released: message.GetReleased(), PassOn: true}
 	for hall := range g.cfg.Halls {
 		if hall != g.cfg.Hall {
-			go g.tellOneOf(hall, message)
+			go g.sendToAnyInHall(hall, message)
 		}
 	}
 }
 
-// tellHall tells the other VMs of this VM's hall.
-func (g *Gateway) tellHall(message *peerpb.Quarantine) {
+// sendToHall sends a message to the other VMs of this VM's hall.
+func (g *Gateway) sendToHall(message *peerpb.Quarantine) {
 	message = &peerpb.Quarantine{Entries: message.GetEntries(), Released: message.GetReleased()}
-	for _, m := range g.inHall(g.cfg.Hall) {
+	for _, m := range g.hallPeers(g.cfg.Hall) {
 		go func() {
-			for range quarantineTries {
-				if g.tellOne(m, message) {
+			for range quarantineAttempts {
+				if g.sendQuarantine(m, message) {
 					return
 				}
 			}
@@ -274,32 +275,32 @@
 	}
 }
 
-// tellOneOf tells one VM of a hall, the next one if it does not answer.
-func (g *Gateway) tellOneOf(hall string, message *peerpb.Quarantine) {
-	for _, m := range g.inHall(hall) {
-		if g.tellOne(m, message) {
+// sendToAnyInHall sends a message to one VM of a hall, trying the next one on failure.
+func (g *Gateway) sendToAnyInHall(hall string, message *peerpb.Quarantine) {
+	for _, m := range g.hallPeers(hall) {
+		if g.sendQuarantine(m, message) {
 			return
 		}
 	}
 }
 
-// inHall returns the other VMs of a hall, in an order that differs from VM to VM: two
-// VMs that find the same tell it to different ones.
-func (g *Gateway) inHall(hall string) []membership.Member {
+// hallPeers returns the other VMs of a hall. The order differs between VMs, so that VMs
+// which detect the same request contact different peers.
+func (g *Gateway) hallPeers(hall string) []membership.Member {
 	c := g.candidates(clock.Now(), func(m membership.Member) bool { return m.Hall == hall })
 	delete(c, g.cfg.VM)
 	return c.ranked("quarantine/" + g.cfg.VM)
 }
 
-func (g *Gateway) tellOne(m membership.Member, message *peerpb.Quarantine) bool {
-	_, err := g.callOfQuarantine(m, &peerpb.Envelope{Kind: &peerpb.Envelope_Quarantine{Quarantine: message}})
+func (g *Gateway) sendQuarantine(m membership.Member, message *peerpb.Quarantine) bool {
+	_, err := g.callQuarantine(m, &peerpb.Envelope{Kind: &peerpb.Envelope_Quarantine{Quarantine: message}})
 	if err != nil {
-		g.log.Info("quarantine: a VM was not told", "peer", m.ID, "error", err.Error())
+		g.log.Info("quarantine: message not delivered", "peer", m.ID, "error", err.Error())
 	}
 	return err == nil
 }
 
-func (g *Gateway) callOfQuarantine(m membership.Member, message *peerpb.Envelope) (*peerpb.QuarantineTaken, error) {
+func (g *Gateway) callQuarantine(m membership.Member, message *peerpb.Envelope) (*peerpb.QuarantineTaken, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), probeTimeout)
 	defer cancel()
 	reply, err := g.peers.Call(ctx, peer.Target{VM: m.ID, Address: m.Peer}, message)
@@ -307,42 +308,42 @@
 	return reply.GetQuarantineTaken(), err
 }
 
-// hearHangUps answers a VM that tells hang-ups.
-func (g *Gateway) hearHangUps(from string, told *peerpb.HangUps) *peerpb.QuarantineTaken {
-	hangUps, answered, err := fromHangUps(told, clock.Now())
+// hearHangUps handles a report of hang-ups from another VM.
+func (g *Gateway) hearHangUps(from string, message *peerpb.HangUps) *peerpb.QuarantineTaken {
+	hangUps, answered, err := fromHangUps(message, clock.Now())
 	if err != nil {
-		g.log.Info("quarantine: hang-ups that cannot be read", "peer", from, "error", err.Error())
+		g.log.Info("quarantine: invalid hang-ups received", "peer", from, "error", err.Error())
 	}
 	return &peerpb.QuarantineTaken{Entries: g.encodeEntries(g.collectHangUps(hangUps, answered))}
 }
 
-// hearQuarantine takes in what another VM tells of the quarantine.
-func (g *Gateway) hearQuarantine(from string, told *peerpb.Quarantine) *peerpb.QuarantineTaken {
-	g.takeEntries(from, told.GetEntries())
-	for _, raw := range told.GetReleased() {
+// hearQuarantine applies entries and releases sent by another VM.
+func (g *Gateway) hearQuarantine(from string, message *peerpb.Quarantine) *peerpb.QuarantineTaken {
+	g.applyEntries(from, message.GetEntries())
+	for _, raw := range message.GetReleased() {
 		f, err := quarantine.FingerprintFromBytes(raw)
 		if err != nil {
-			g.log.Info("quarantine: a release that cannot be read", "peer", from, "error", err.Error())
+			g.log.Info("quarantine: invalid release received", "peer", from, "error", err.Error())
 			continue
 		}
-		g.forgetQuarantined(f)
+		g.removeQuarantined(f)
 	}
-	if told.GetPassOn() {
-		g.tellHall(told)
+	if message.GetPassOn() {
+		g.sendToHall(message)
 	}
 	return &peerpb.QuarantineTaken{}
 }
 
-// takeEntries takes in entries that another VM has told.
-func (g *Gateway) takeEntries(from string, entries [][]byte) {
-	for _, raw := range entries[:min(len(entries), maxQuarantineTold)] {
+// applyEntries applies entries sent by another VM.
+func (g *Gateway) applyEntries(from string, entries [][]byte) {
+	for _, raw := range entries[:min(len(entries), maxMessageEntries)] {
 		e, err := decodeEntry(raw, clock.Now())
 		if err != nil {
-			g.log.Info("quarantine: an entry that cannot be read", "peer", from, "error", err.Error())
+			g.log.Info("quarantine: invalid entry received", "peer", from, "error", err.Error())
 			continue
 		}
 		if g.quarantines.table.Hear(e) {
-			g.log.Info("quarantine: a request is held, as a peer tells", "fingerprint", e.Fingerprint.String(),
+			g.log.Info("quarantine: request quarantined by a peer", "fingerprint", e.Fingerprint.String(),
 				"peer", from, "subject", e.Subject, "until", e.Until)
 		}
 	}
@@ -354,7 +355,7 @@
 	for _, e := range entries {
 		raw, err := e.Encode()
 		if err != nil {
-			g.log.Error(err, "quarantine: entry not told", "fingerprint", e.Fingerprint.String())
+			g.log.Error(err, "quarantine: encode entry", "fingerprint", e.Fingerprint.String())
 			continue
 		}
 		encoded = append(encoded, raw)
@@ -362,8 +363,8 @@
 	return encoded
 }
 
-// ranked returns the candidates in the order in which all VMs that see the same ones
-// choose them for an item.
+// ranked returns the candidates in their rank order for an item, which is the same at all
+// VMs with the same candidates.
 func (c candidates) ranked(item string) []membership.Member {
 	ranked := make([]membership.Member, 0, len(c))
 	for _, id := range tree.Rank(item, c.vms()) {
--- a/internal/gateway/quarantinestore.go
+++ b/internal/gateway/quarantinestore.go
@@ -16,24 +16,24 @@
 )
 
 const (
-	// saveLook is the time between two looks whether there is an entry that the store
-	// does not have yet.
-	saveLook = 500 * time.Millisecond
-	// saveForOthers is after what time a VM that watches the store saves an entry that
-	// another one made: that one may be gone.
-	saveForOthers = 2 * time.Second
+	// savePollInterval is the time between two checks for entries that are not stored
+	// yet.
+	savePollInterval = 500 * time.Millisecond
+	// saveForOthersAfter is when a VM that watches the store saves an entry made by
+	// another VM, which may have failed before saving it.
+	saveForOthersAfter = 2 * time.Second
 )
 
-// quarantineStoreLoop keeps this VM's knowledge of the store's entries, and the store's
-// knowledge of those that VMs have found. While there is nothing new, the VMs that watch
-// the store read a stale list now and then, as of other kinds that change rarely.
+// quarantineStoreLoop saves new entries to the store and keeps this VM's copy of the
+// stored entries up to date. While there is nothing to save, the VMs that watch the store
+// read a stale list once per listInterval.
 func (g *Gateway) quarantineStoreLoop(ctx context.Context) {
 	kind := g.cfg.Codec.QuarantineKind()
 	g.waitForPeers(ctx, kind)
 	var listed time.Time
 	for ; ctx.Err() == nil; g.quarantines.awaitSave(ctx) {
 		_, known := g.replica.At(kind)
-		unsaved := g.unsaved(clock.Now())
+		unsaved := g.entriesToSave(clock.Now())
 		if known && len(unsaved) == 0 && (!g.watches() || clock.Since(listed) < listInterval) {
 			continue
 		}
@@ -44,21 +44,21 @@
 		}
 		g.gate.ended(err)
 		if err != nil {
-			g.log.V(1).Info("quarantine: the store does not answer", "unsaved", len(unsaved), "error", err.Error())
+			g.log.V(1).Info("quarantine: store unavailable", "unsaved", len(unsaved), "error", err.Error())
 			continue
 		}
 		listed = clock.Now()
 	}
 }
 
-// unsaved returns the entries that this VM is to save: its own, and those of others
-// that have not been saved for long.
-func (g *Gateway) unsaved(now time.Time) []quarantine.Entry {
+// entriesToSave returns the entries that this VM has to save: its own, and, if it watches
+// the store, those of others that stay unsaved for too long.
+func (g *Gateway) entriesToSave(now time.Time) []quarantine.Entry {
 	q := g.quarantines
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	return slices.DeleteFunc(q.table.Unstored(), func(e quarantine.Entry) bool {
-		return !q.found[e.Fingerprint] && (!g.watches() || now.Sub(e.Since) < saveForOthers)
+		return !q.detected[e.Fingerprint] && (!g.watches() || now.Sub(e.Since) < saveForOthersAfter)
 	})
 }
 
@@ -66,24 +66,24 @@
 	for _, e := range entries {
 		raw, err := e.Encode()
 		if err != nil {
-			return errors.Wrap(err, "quarantine: encode")
+			return errors.Wrap(err, "quarantine: encode entry")
 		}
 		if err := g.cfg.Store.Put(ctx, g.cfg.Codec.QuarantineKind(), e.Fingerprint.String(), raw); err != nil {
-			return errors.Wrap(err, "quarantine: save")
+			return errors.Wrap(err, "quarantine: save entry")
 		}
 	}
 	return nil
 }
 
-// listQuarantine reads the store's entries. Those that are of no more use are removed
-// by the VMs that watch, since nothing in the store runs out by itself.
+// listQuarantine reads the stored entries. VMs that watch the store delete entries past
+// their retention, since the store does not expire them.
 func (g *Gateway) listQuarantine(ctx context.Context, stale bool) error {
 	kind := g.cfg.Codec.QuarantineKind()
-	objects, at, err := g.cfg.Store.List(ctx, kind, stale)
+	objects, revision, err := g.cfg.Store.List(ctx, kind, stale)
 	if err != nil {
-		return errors.Wrap(err, "quarantine: list")
+		return errors.Wrap(err, "quarantine: list entries")
 	}
-	g.replica.Reset(kind, objects, at)
+	g.replica.Reset(kind, objects, revision)
 	g.compileQuarantine()
 	if !g.watches() {
 		return nil
@@ -93,20 +93,20 @@
 			continue
 		}
 		if err := g.cfg.Store.Delete(ctx, kind, e.Fingerprint.String()); err != nil {
-			return errors.Wrap(err, "quarantine: remove")
+			return errors.Wrap(err, "quarantine: delete expired entry")
 		}
 	}
 	return nil
 }
 
-// compileQuarantine takes in the store's entries as the replica has them. One that
-// cannot be read holds nothing.
+// compileQuarantine applies the stored entries in the replica. Entries that cannot be
+// decoded are skipped.
 func (g *Gateway) compileQuarantine() {
 	q, kind := g.quarantines, g.cfg.Codec.QuarantineKind()
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	content := g.replica.Content(kind)
-	if _, known := g.replica.At(kind); !known || content == q.compiled {
+	if _, known := g.replica.At(kind); !known || content == q.compiledRevision {
 		return
 	}
 	var entries []quarantine.Entry
@@ -123,39 +123,39 @@
 		}
 		entries = append(entries, e)
 	}
-	q.compiled = content
+	q.compiledRevision = content
 	q.table.SyncStored(entries)
-	for f := range q.found {
+	for f := range q.detected {
 		if _, ok := q.table.Get(f); !ok {
-			delete(q.found, f)
+			delete(q.detected, f)
 		}
 	}
 	g.cfg.Metrics.Quarantined(q.table.Len())
 }
 
-// releaseQuarantined lets a request run again at all VMs, and reports whether it was
-// known here.
+// releaseQuarantined releases a request at all VMs, and reports whether it was known
+// here.
 func (g *Gateway) releaseQuarantined(ctx context.Context, f quarantine.Fingerprint) (known bool, err error) {
 	if _, ok := g.quarantines.table.Get(f); !ok {
 		return false, nil
 	}
 	if err := g.cfg.Store.Delete(ctx, g.cfg.Codec.QuarantineKind(), f.String()); err != nil {
-		return true, errors.Wrap(err, "quarantine: release")
+		return true, errors.Wrap(err, "quarantine: release entry")
 	}
-	g.forgetQuarantined(f)
-	g.tellQuarantine(nil, []quarantine.Fingerprint{f})
+	g.removeQuarantined(f)
+	g.broadcastQuarantine(nil, []quarantine.Fingerprint{f})
 	return true, nil
 }
 
-// forgetQuarantined forgets that a request was held.
-func (g *Gateway) forgetQuarantined(f quarantine.Fingerprint) {
+// removeQuarantined removes a request from this VM's quarantine.
+func (g *Gateway) removeQuarantined(f quarantine.Fingerprint) {
 	q := g.quarantines
 	q.mu.Lock()
-	delete(q.found, f)
+	delete(q.detected, f)
 	q.mu.Unlock()
 	q.detector.Release(f)
 	if q.table.Release(f) {
-		g.log.Info("quarantine: a request may run again", "fingerprint", f.String())
+		g.log.Info("quarantine: request released", "fingerprint", f.String())
 	}
 	g.cfg.Metrics.Quarantined(q.table.Len())
 }
--- a/internal/gateway/quarantinewire.go
+++ b/internal/gateway/quarantinewire.go
@@ -13,15 +13,15 @@
 	"github.com/ryehill/ryehill/state/quarantine"
 )
 
-// maxAhead is how far the time of day at another VM may be ahead of this one's.
-const maxAhead = time.Hour
+// maxClockSkew is how far another VM's clock may be ahead of this one's.
+const maxClockSkew = time.Hour
 
-// decodeEntry reads an entry that was kept or told, and refuses one that would hold a
-// request for longer than any VM holds one.
+// decodeEntry decodes a stored or received entry. It rejects one that starts too far in
+// the future, which would last longer than any entry may.
 func decodeEntry(raw []byte, now time.Time) (quarantine.Entry, error) {
 	e, err := quarantine.Decode(raw)
-	if err == nil && e.Since.After(now.Add(maxAhead)) {
-		err = errors.Wrapf(quarantine.ErrEntry, "held from %s", e.Since)
+	if err == nil && e.Since.After(now.Add(maxClockSkew)) {
+		err = errors.Wrapf(quarantine.ErrEntry, "start %s is too far in the future", e.Since)
 	}
 	return e, err
 }
@@ -40,12 +40,13 @@
 	return out
 }
 
-// fromHangUps reads hang-ups, and returns with an error those that can be read.
-func fromHangUps(in *peerpb.HangUps, now time.Time) (hangUps []poison.HangUp, answered []quarantine.Fingerprint, faults error) {
+// fromHangUps decodes hang-ups. It returns those that can be decoded along with the
+// combined error for the others.
+func fromHangUps(in *peerpb.HangUps, now time.Time) (hangUps []poison.HangUp, answered []quarantine.Fingerprint, errs error) {
 	for _, h := range in.GetHangUps()[:min(len(in.GetHangUps()), maxHangUps)] {
 		f, err := quarantine.FingerprintFromBytes(h.GetFingerprint())
 		if err != nil {
-			faults = errors.CombineErrors(faults, err)
+			errs = errors.CombineErrors(errs, err)
 			continue
 		}
 		hangUps = append(hangUps, poison.HangUp{
@@ -56,10 +57,10 @@
 	for _, raw := range in.GetAnswered()[:min(len(in.GetAnswered()), maxHangUps)] {
 		f, err := quarantine.FingerprintFromBytes(raw)
 		if err != nil {
-			faults = errors.CombineErrors(faults, err)
+			errs = errors.CombineErrors(errs, err)
 			continue
 		}
 		answered = append(answered, f)
 	}
-	return hangUps, answered, faults
+	return hangUps, answered, errs
 }
--- a/internal/gateway/quota.go
+++ b/internal/gateway/quota.go
@@ -25,63 +25,60 @@
 const (
 	// loanInterval is the time between two renewals of a loan: two may be lost.
 	loanInterval = ratelimit.LoanDuration / 3
-	// loanLook is the time between two tries while nobody has this VM's parts: the first
-	// question to a pool only brings its clock.
-	loanLook = 50 * time.Millisecond
-	// allowTimeout bounds a question to a pool: a request waits for it. In a region
-	// it takes 1 to 3 ms; a small VM is put off for up to 100 ms while its share of
-	// a processor is used up.
-	allowTimeout = 150 * time.Millisecond
-	// maxAllowed bounds the workspaces of one question.
-	maxAllowed = 4096
-	// leastBack is the least time after which a refused client is told to come back:
-	// a few ways and the time that the pool is not asked again.
-	leastBack = 250 * time.Millisecond
-	// quotaSpread is the part by which times to come back are spread, so that
-	// clients which were refused together do not come back together.
-	quotaSpread = 0.25
+	// loanRetryInterval is the retry interval while no pool holds this VM's loan: the
+	// first query to a pool only returns its clock.
+	loanRetryInterval = 50 * time.Millisecond
+	// poolQueryTimeout bounds a query to a pool, since a request waits for it. It leaves
+	// room for a small VM that is throttled by its CPU quota.
+	poolQueryTimeout = 150 * time.Millisecond
+	// maxQueryWorkspaces bounds the workspaces in one query.
+	maxQueryWorkspaces = 4096
+	// minRetryAfter is the shortest retry delay for a rejected client: a few round trips
+	// and the time for which the pool is not queried again.
+	minRetryAfter = 250 * time.Millisecond
+	// retryAfterJitter is the fraction by which retry delays are spread, so that clients
+	// rejected together do not retry together.
+	retryAfterJitter = 0.25
 )
 
-// quotas bounds what workspaces have run: by this VM's own parts, then by the pool of
-// its region.
+// quotas enforces the rate limits of workspaces: first with this VM's own share, then
+// with the pool of its region.
 type quotas struct {
-	own      *ratelimit.LocalLimiter
+	local    *ratelimit.LocalLimiter
 	pool     *ratelimit.Pool
 	lender   *ratelimit.Lender
 	borrower *ratelimit.Borrower
-	// avoided are the VMs that did not answer as pools.
+	// avoided are the VMs that recently failed to respond as pools.
 	avoided *avoided
-	// toldVMs is how many VMs a peer has listed, 0 while none has said.
-	toldVMs atomic.Uint32
+	// reportedVMs is the number of listed VMs reported by a peer, 0 if unknown.
+	reportedVMs atomic.Uint32
 }
 
 func newQuotas(g *Gateway) *quotas {
 	bounds := g.cfg.Bounds.Quota
 	return &quotas{
-		own:      ratelimit.NewLocalLimiter(ratelimit.Config{Bounds: bounds, VMs: g.listedVMs, Now: clock.Now}),
+		local:    ratelimit.NewLocalLimiter(ratelimit.Config{Bounds: bounds, VMs: g.listedVMs, Now: clock.Now}),
 		pool:     ratelimit.NewPool(bounds, clock.Now),
 		lender:   ratelimit.NewLender(clock.Now),
-		borrower: ratelimit.NewBorrower(ratelimit.BorrowerConfig{QueryPool: g.askPool, Window: bounds.Window, Now: clock.Now}),
+		borrower: ratelimit.NewBorrower(ratelimit.BorrowerConfig{QueryPool: g.queryPool, Window: bounds.Window, Now: clock.Now}),
 		avoided:  newAvoided(),
 	}
 }
 
-// listedVMs returns how many VMs share each allowance; 0 while that is unknown. The
-// list itself is among the last that a VM which starts is told, since it is large and
-// nothing else waits for it; the number comes with the first answer of a peer. Of the log
-// lines on refusals of 95 VMs after 296 were killed at once, 15 were for a number that was
-// not known, and 1 was with it.
+// listedVMs returns the number of VMs that share each limit, 0 if unknown. A starting VM
+// gets the member list late, since it is large; until then the number from the first peer
+// response is used.
 func (g *Gateway) listedVMs() int {
 	if _, known := g.replica.At(g.cfg.Codec.MemberKind()); known {
 		return g.members.ListedLen()
 	}
-	return int(g.quotas.toldVMs.Load())
+	return int(g.quotas.reportedVMs.Load())
 }
 
-// hearListedVMs takes in how many VMs a peer has listed.
+// hearListedVMs records the number of listed VMs reported by a peer.
 func (g *Gateway) hearListedVMs(n uint32) {
 	if n > 0 && n <= spec.MaxVMs {
-		g.quotas.toldVMs.Store(n)
+		g.quotas.reportedVMs.Store(n)
 	}
 }
 
@@ -95,22 +92,22 @@
 	if vms == 0 {
 		return ingress.Admission{Verdict: ingress.AdmissionUnknown}
 	}
-	if g.quotas.own.TakeToken(w.Name(), limit) {
-		return ingress.Admission{Verdict: ingress.AdmissionPassed, Refund: func() { g.quotas.own.Refund(w.Name()) }}
+	if g.quotas.local.TakeToken(w.Name(), limit) {
+		return ingress.Admission{Verdict: ingress.AdmissionPassed, Refund: func() { g.quotas.local.Refund(w.Name()) }}
 	}
 	wait, ok := g.quotas.borrower.TakeToken(ctx, w.Name())
 	if ok {
 		return ingress.Admission{Verdict: ingress.AdmissionPassed}
 	}
 	pool, lent := g.quotas.lender.CurrentPool()
-	why := fmt.Sprintf("limit %.0f a second and %.0f at once, divided among %d VMs; own part used up, nothing left at the pool %s (it has this VM's part: %t)",
+	reason := fmt.Sprintf("limit %.0f a second and %.0f at once, divided among %d VMs; own part used up, nothing left at the pool %s (it has this VM's part: %t)",
 		limit.Rate, limit.Burst, vms, pool, lent)
 	return ingress.Admission{
-		Verdict: ingress.AdmissionOver, After: max(wait, leastBack) + time.Duration(rand.Float64()*quotaSpread*float64(wait)), Why: why,
+		Verdict: ingress.AdmissionOver, After: max(wait, minRetryAfter) + time.Duration(rand.Float64()*retryAfterJitter*float64(wait)), Why: reason,
 	}
 }
 
-// poolVM returns the VM of this region that the others lend to.
+// poolVM returns the VM that acts as the pool of this region.
 func (g *Gateway) poolVM(now time.Time) membership.Member {
 	c := g.candidates(now, func(m membership.Member) bool { return g.inRegion(m) && !g.quotas.avoided.has(m.ID, now) })
 	if g.members.Self().State == membership.StateLeaving && len(c) > 1 {
@@ -119,29 +116,28 @@
 	return c.first("quota/" + g.region())
 }
 
-// quotaLoop lends this VM's parts to the pool of its region, as long as there are
+// quotaLoop lends this VM's shares to the pool of its region while there are
 // workspaces with limits.
 func (g *Gateway) quotaLoop(ctx context.Context) {
 	for ctx.Err() == nil {
 		wait := loanInterval
 		if _, lent := g.quotas.lender.CurrentPool(); !lent {
-			wait = loanLook
+			wait = loanRetryInterval
 		}
 		sleep(ctx, wait)
 		if s := g.snapshot.Load(); s == nil || s.Routes.Workspaces().Len() == 0 || g.listedVMs() == 0 {
 			continue
 		}
-		g.takeBack()
-		if _, err := g.askPool(nil); err != nil {
-			g.log.V(1).Info("quota: parts not lent", "error", err.Error())
+		g.recallLoan()
+		if _, err := g.queryPool(nil); err != nil {
+			g.log.V(1).Info("quota: loan not renewed", "error", err.Error())
 		}
 	}
 }
 
-// takeBack asks the VM that has this VM's parts to give them back if another one is
-// to have them: it stops, or is not the first choice any more. One that does not
-// answer keeps them until the loan ends.
-func (g *Gateway) takeBack() {
+// recallLoan asks the pool that holds this VM's loan to return it if that VM is no longer
+// the pool of the region. A pool that does not respond keeps the loan until it expires.
+func (g *Gateway) recallLoan() {
 	holder, lent := g.quotas.lender.CurrentPool()
 	if !lent || holder == g.poolVM(clock.Now()).ID {
 		return
@@ -156,26 +152,26 @@
 		return
 	}
 	if _, err := g.callPool(m, &peerpb.Allow{Vms: uint32(g.listedVMs())}); err != nil {
-		g.log.V(1).Info("quota: parts not given back", "peer", holder, "error", err.Error())
+		g.log.V(1).Info("quota: loan not returned", "peer", holder, "error", err.Error())
 		return
 	}
 	g.quotas.lender.LoanReturned(holder)
 }
 
-// askPool lends this VM's parts to the pool of its region and asks it for requests.
-func (g *Gateway) askPool(want ratelimit.RequestCounts) (ratelimit.Grants, error) {
+// queryPool renews this VM's loan to the pool of its region and requests tokens from it.
+func (g *Gateway) queryPool(wanted ratelimit.RequestCounts) (ratelimit.Grants, error) {
 	now := clock.Now()
 	m := g.poolVM(now)
 	start, until, offered := g.quotas.lender.OfferLoan(m.ID)
 	if m.ID == g.cfg.VM {
-		return g.ownPool(want, until, offered), nil
+		return g.queryLocalPool(wanted, until, offered), nil
 	}
 	message := &peerpb.Allow{}
 	if offered {
 		message.Start, message.UntilMillis, message.Vms = start, uint64(until.Milliseconds()), uint32(g.listedVMs())
 	}
-	for name, n := range want {
-		if len(message.GetWorkspaces()) == maxAllowed {
+	for name, n := range wanted {
+		if len(message.GetWorkspaces()) == maxQueryWorkspaces {
 			break
 		}
 		message.Workspaces = append(message.Workspaces, name)
@@ -184,11 +180,11 @@
 	answer, err := g.callPool(m, message)
 	if err != nil {
 		g.quotas.avoided.add(m.ID, now)
-		g.log.Info("quota: the pool does not answer", "peer", m.ID, "error", err.Error())
+		g.log.Info("quota: pool unavailable", "peer", m.ID, "error", err.Error())
 		return nil, err
 	}
 	g.quotas.lender.ObserveClock(m.ID, answer.GetStart(), time.Duration(answer.GetClockMillis())*time.Millisecond)
-	granted := make(ratelimit.Grants, len(want))
+	granted := make(ratelimit.Grants, len(wanted))
 	for i, name := range message.GetWorkspaces()[:min(len(message.GetWorkspaces()), len(answer.GetGranted()), len(answer.GetWaitMillis()))] {
 		granted[name] = ratelimit.Grant{
 			Requests: int(answer.GetGranted()[i]), RetryAfter: time.Duration(answer.GetWaitMillis()[i]) * time.Millisecond,
@@ -197,10 +193,10 @@
 	return granted, nil
 }
 
-// callPool asks a VM as a pool once. An answer that comes after the time of its grants
-// is not waited for.
+// callPool sends one query to a pool. A response that comes after its grants expire is
+// not awaited.
 func (g *Gateway) callPool(m membership.Member, message *peerpb.Allow) (*peerpb.Allowed, error) {
-	ctx, cancel := context.WithTimeout(context.Background(), allowTimeout)
+	ctx, cancel := context.WithTimeout(context.Background(), poolQueryTimeout)
 	defer cancel()
 	reply, err := g.peers.Call(ctx, peer.Target{VM: m.ID, Address: m.Peer}, &peerpb.Envelope{Kind: &peerpb.Envelope_Allow{Allow: message}})
 	g.cfg.Metrics.PeerCall("allow", err)
@@ -208,26 +204,27 @@
 		return nil, err
 	}
 	if reply.GetAllowed() == nil {
-		return nil, errors.Newf("quota: %s answers something else", m.ID)
+		return nil, errors.Newf("quota: unexpected response from %s", m.ID)
 	}
 	return reply.GetAllowed(), nil
 }
 
-// ownPool serves this VM's own question as the pool.
-func (g *Gateway) ownPool(want ratelimit.RequestCounts, until time.Duration, offered bool) ratelimit.Grants {
+// queryLocalPool handles this VM's own query when it is the pool.
+func (g *Gateway) queryLocalPool(wanted ratelimit.RequestCounts, until time.Duration, offered bool) ratelimit.Grants {
 	if offered {
 		g.quotas.pool.AddLoan(ratelimit.Loan{VM: g.cfg.VM, VMs: g.listedVMs(), Until: g.started.Add(until)})
 	}
 	g.quotas.lender.ObserveClock(g.cfg.VM, g.self.Start, clock.Since(g.started))
-	granted := make(ratelimit.Grants, len(want))
-	for name, n := range want {
-		granted[name] = g.grant(name, n)
+	granted := make(ratelimit.Grants, len(wanted))
+	for name, n := range wanted {
+		granted[name] = g.grantRequests(name, n)
 	}
 	return granted
 }
 
-// grant grants requests of a workspace by the limit that this VM knows.
-func (g *Gateway) grant(name string, n int) ratelimit.Grant {
+// grantRequests grants requests of a workspace from the pool, by the limit known to this
+// VM.
+func (g *Gateway) grantRequests(name string, n int) ratelimit.Grant {
 	if s := g.snapshot.Load(); s != nil {
 		if w, ok := s.Routes.Workspaces().FindByName(name); ok {
 			return g.quotas.pool.TakeTokens(name, w.Limit(), n)
@@ -236,20 +233,20 @@
 	return ratelimit.Grant{RetryAfter: g.cfg.Bounds.Quota.Window}
 }
 
-// allowed answers a VM that takes this one for the pool.
-func (g *Gateway) allowed(from string, ask *peerpb.Allow) *peerpb.Allowed {
+// allowed handles a pool query from another VM.
+func (g *Gateway) allowed(from string, request *peerpb.Allow) *peerpb.Allowed {
 	switch {
-	case ask.GetVms() == 0:
-	case ask.GetUntilMillis() == 0:
+	case request.GetVms() == 0:
+	case request.GetUntilMillis() == 0:
 		g.quotas.pool.AddLoan(ratelimit.Loan{VM: from})
-	case ask.GetStart() == g.self.Start:
-		until := g.started.Add(time.Duration(min(ask.GetUntilMillis(), maxClockMillis)) * time.Millisecond)
-		g.quotas.pool.AddLoan(ratelimit.Loan{VM: from, VMs: int(ask.GetVms()), Until: until})
+	case request.GetStart() == g.self.Start:
+		until := g.started.Add(time.Duration(min(request.GetUntilMillis(), maxClockMillis)) * time.Millisecond)
+		g.quotas.pool.AddLoan(ratelimit.Loan{VM: from, VMs: int(request.GetVms()), Until: until})
 	}
 	answer := &peerpb.Allowed{Start: g.self.Start}
-	workspaces, wanted := ask.GetWorkspaces(), ask.GetWanted()
-	for i, name := range workspaces[:min(len(workspaces), len(wanted), maxAllowed)] {
-		grant := g.grant(name, int(min(wanted[i], maxWanted)))
+	workspaces, wanted := request.GetWorkspaces(), request.GetWanted()
+	for i, name := range workspaces[:min(len(workspaces), len(wanted), maxQueryWorkspaces)] {
+		grant := g.grantRequests(name, int(min(wanted[i], maxRequestsPerWorkspace)))
 		answer.Granted = append(answer.Granted, uint32(grant.Requests))
 		answer.WaitMillis = append(answer.WaitMillis, uint32(grant.RetryAfter.Milliseconds()))
 	}
@@ -258,8 +255,8 @@
 }
 
 const (
-	// maxWanted bounds what one question may ask for of one workspace.
-	maxWanted = 1 << 16
+	// maxRequestsPerWorkspace bounds the requests of one workspace in one query.
+	maxRequestsPerWorkspace = 1 << 16
 	// maxClockMillis bounds the clock of a process: ten years.
 	maxClockMillis = 10 * 365 * 24 * 3600 * 1000
 )
--- a/internal/gateway/rolloutloop.go
+++ b/internal/gateway/rolloutloop.go
@@ -20,28 +20,30 @@
 )
 
 const (
-	// rolloutInterval is the time between two rounds in which the VM that decides asks
-	// all others what they have seen; a VM's permission outlasts six.
+	// rolloutInterval is the time between two rounds in which the deciding VM collects
+	// reports from all others. The permission that a step gives a VM outlasts six of
+	// them.
 	rolloutInterval = 300 * time.Millisecond
-	// shiftInterval is the same from the shift on.
+	// shiftInterval replaces rolloutInterval from the shift phase on.
 	shiftInterval = 100 * time.Millisecond
-	// orderLook is the time between two looks for an order while there is none.
-	orderLook = time.Second
-	// hallTimeout bounds the answer of one VM for its hall, vmTimeout that of a VM there.
+	// orderPollInterval is the poll interval while no order is active.
+	orderPollInterval = time.Second
+	// hallTimeout bounds a call for the reports of a whole hall, vmTimeout one for a
+	// single VM's.
 	hallTimeout = 500 * time.Millisecond
 	vmTimeout   = 300 * time.Millisecond
-	// hallTries is how many VMs of a hall are asked in turn.
-	hallTries = 2
-	// rolloutHold is how long the store holds a watch of orders: no time is promised
-	// within which an order is heard of, only within which it is carried out.
-	rolloutHold = 5 * time.Second
+	// maxHallAttempts is the number of VMs of a hall that are tried in turn.
+	maxHallAttempts = 2
+	// rolloutWatchHold is how long the store holds a watch for orders open. How soon a
+	// new order is noticed is not bounded, only how long it takes to carry out.
+	rolloutWatchHold = 5 * time.Second
 )
 
-// sight is what VMs have seen of the orders under way, by service.
-type sight map[string]*rollout.Report
+// reportsByService holds the merged reports on active orders, by service.
+type reportsByService map[string]*rollout.Report
 
-// join adds a report, if it is of the version that is looked at.
-func (s sight) join(service string, r rollout.Report) {
+// merge adds a report to that of its service. The caller has checked the version.
+func (s reportsByService) merge(service string, r rollout.Report) {
 	sum, ok := s[service]
 	if !ok {
 		empty := rollout.NewReport()
@@ -51,14 +53,14 @@
 	sum.Merge(r)
 }
 
-// rolloutWatchLoop keeps the orders for new versions known, while this VM watches for
-// others or knows none.
+// rolloutWatchLoop keeps the rollout orders in the replica up to date while this VM
+// watches the store for others or has not read any orders yet.
 func (g *Gateway) rolloutWatchLoop(ctx context.Context) {
 	kind := g.cfg.Codec.RolloutKind()
 	g.waitForPeers(ctx, kind)
-	forgotten := false
+	compacted := false
 	for ctx.Err() == nil {
-		if _, known := g.replica.At(kind); known && !g.watches() && !forgotten {
+		if _, known := g.replica.At(kind); known && !g.watches() && !compacted {
 			select {
 			case <-ctx.Done():
 			case <-g.askedToWatch():
@@ -66,70 +68,70 @@
 			continue
 		}
 		g.gate.enter(ctx, g.longestWait())
-		_, err := g.follow(ctx, kind, rolloutHold, forgotten)
-		forgotten = errors.Is(err, ErrForgotten)
+		_, err := g.follow(ctx, kind, rolloutWatchHold, compacted)
+		compacted = errors.Is(err, ErrForgotten)
 		g.gate.ended(err)
 		g.knowledge.noteStore(kind, err)
 	}
 }
 
-// rolloutLoop carries orders out while this VM is the one that decides, as it steps the
-// operators' moves: two VMs that both take themselves for it do each other no harm, since
-// phases only go forward and the store is written on the condition that nobody else has.
+// rolloutLoop advances orders while this VM is the one that steps operators' moves. Two
+// VMs that both consider themselves in charge do no harm: phases only advance, and writes
+// to the store are conditional on the revision.
 func (g *Gateway) rolloutLoop(ctx context.Context) {
 	wait := rolloutInterval
 	for ctx.Err() == nil {
 		sleep(ctx, wait)
 		wait = rolloutInterval
-		open := g.rollouts.underWay()
-		if len(open) == 0 {
-			wait = orderLook
+		active := g.rollouts.active()
+		if len(active) == 0 {
+			wait = orderPollInterval
 			continue
 		}
 		if !g.Ready() || !g.settled() || !g.controls() {
 			continue
 		}
-		seen := g.askRollouts(ctx, g.rolloutSteps(open))
-		for _, o := range open {
-			wait = min(wait, g.decideRollout(ctx, o, seen[o.service]))
+		reports := g.collectReports(ctx, g.rolloutSteps(active))
+		for _, o := range active {
+			wait = min(wait, g.decideRollout(ctx, o, reports[o.service]))
 		}
 	}
 }
 
-// decideRollout moves one order on, and returns after what time to look again.
-func (g *Gateway) decideRollout(ctx context.Context, o *order, seen *rollout.Report) time.Duration {
+// decideRollout advances one order and returns when to check it again.
+func (g *Gateway) decideRollout(ctx context.Context, o *order, report *rollout.Report) time.Duration {
 	now := clock.Now()
-	if seen == nil {
+	if report == nil {
 		return rolloutInterval
 	}
-	held, end := g.rollouts.state(o)
+	held, deadline := g.rollouts.storedAndDeadline(o)
 	if o.decider == nil {
 		o.decider = rolling.NewDecider(rolling.DeciderConfig{Order: held})
 	}
-	before, left := o.decider.Phase(), end.Sub(now)
+	previous, timeLeft := o.decider.Phase(), deadline.Sub(now)
 	step := o.decider.Decide(rolling.Inputs{
-		Now: now, TimeLeft: left, Report: *seen, VMs: len(g.live()), Slots: g.usableSlots(o.service, worker.TrackNew), OldSlots: g.usableSlots(o.service, worker.TrackStable),
+		Now: now, TimeLeft: timeLeft, Report: *report, VMs: len(g.live()), Slots: g.usableSlots(o.service, worker.TrackNew), OldSlots: g.usableSlots(o.service, worker.TrackStable),
 	})
-	if step.Phase != before {
+	if step.Phase != previous {
 		g.log.Info("rollout: "+step.Phase.String(), "service", o.service, "version", o.name, "reason", step.Reason,
-			"left_ms", left.Milliseconds(), "vms", seen.VMsAtLeast(rollout.PhaseOrdered))
+			"left_ms", timeLeft.Milliseconds(), "vms", report.VMsAtLeast(rollout.PhaseOrdered))
 		g.cfg.Metrics.RolloutPhase(o.service, int(step.Phase))
 	}
-	g.rollouts.note(o, step.Reason, true)
-	if step.Phase == before && now.Sub(o.logged) >= time.Second {
-		o.logged = now
-		g.log.Info("rollout: goes on", "service", o.service, "phase", step.Phase.String(), "reason", step.Reason, "left_ms", left.Milliseconds(),
-			"under_way_old", seen.InFlightOld, "under_way_new", seen.InFlightNew, "vms", seen.VMsAtLeast(rollout.PhaseOrdered))
+	g.rollouts.recordReason(o, step.Reason, true)
+	if step.Phase == previous && now.Sub(o.loggedAt) >= time.Second {
+		o.loggedAt = now
+		g.log.Info("rollout: in progress", "service", o.service, "phase", step.Phase.String(), "reason", step.Reason, "left_ms", timeLeft.Milliseconds(),
+			"under_way_old", report.InFlightOld, "under_way_new", report.InFlightNew, "vms", report.VMsAtLeast(rollout.PhaseOrdered))
 	}
-	if step.Phase > rollout.PhaseOrdered && held.Phase != stored(step.Phase) {
-		go g.writeRollout(ctx, o, stored(step.Phase))
+	if step.Phase > rollout.PhaseOrdered && held.Phase != storedPhase(step.Phase) {
+		go g.writeRollout(ctx, o, storedPhase(step.Phase))
 	}
 	if step.Phase == rollout.PhaseCompleted {
-		return shiftInterval // It is so once it is written; until then all goes on as it was.
+		return shiftInterval // The completion takes effect once it is stored.
 	}
-	o.share.Apply(step)
+	o.splitter.Apply(step)
 	switch {
-	case step.Phase != before:
+	case step.Phase != previous:
 		return 0
 	case step.Phase >= rollout.PhaseShift:
 		return shiftInterval
@@ -137,54 +139,55 @@
 	return rolloutInterval
 }
 
-// stored returns the phase as the store has it, which does not tell those under way apart.
-func stored(p rollout.Phase) rollout.Phase {
+// storedPhase maps a phase to the one that is stored: all active phases are stored as
+// PhaseTrial.
+func storedPhase(p rollout.Phase) rollout.Phase {
 	if p.Final() {
 		return p
 	}
 	return rollout.PhaseTrial
 }
 
-// note keeps why an order is where it is, and whether this VM decides.
-func (r *rollouts) note(o *order, reason string, decides bool) {
+// recordReason records why an order is in its phase and whether this VM decides on it.
+func (r *rollouts) recordReason(o *order, reason string, decides bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	o.reason, o.decides = reason, decides
+	o.reason, o.isDecider = reason, decides
 }
 
-// usableSlots returns the slots of the workers of a track that can be used.
+// usableSlots returns the number of slots of the track's ready and warm workers.
 func (g *Gateway) usableSlots(service string, track worker.Track) int {
 	s := g.snapshot.Load()
 	if s == nil {
 		return 0
 	}
 	now, slots := clock.Now(), 0
-	brought := track == worker.TrackNew
+	isNew := track == worker.TrackNew
 	for _, w := range s.Workers.Track(service, track) {
-		if _, ready := g.loads.Availability(w, now).(worker.Ready); ready && w.New == brought && !g.placer.IsCold(s, w) {
+		if _, ready := g.loads.Availability(w, now).(worker.Ready); ready && w.New == isNew && !g.placer.IsCold(s, w) {
 			slots += w.Slots
 		}
 	}
 	return slots
 }
 
-// writeRollout writes how far an order has come. If anybody else has changed the order, its
-// new state is taken in, and the next round writes again.
+// writeRollout stores the phase of an order. On a conflict it reads the stored order, and
+// the next round writes again.
 func (g *Gateway) writeRollout(ctx context.Context, o *order, phase rollout.Phase) {
-	next, fresh := g.rollouts.toWrite(o, phase)
-	if !fresh {
+	next, ok := g.rollouts.beginWrite(o, phase)
+	if !ok {
 		return
 	}
-	defer g.rollouts.written(o)
+	defer g.rollouts.endWrite(o)
 	status, err := g.cfg.Codec.EncodeRollout(next)
 	if err != nil {
-		g.log.Error(err, "rollout: status", "service", next.Service)
+		g.log.Error(err, "rollout: encode status", "service", next.Service)
 		return
 	}
 	g.gate.enter(ctx, longestRetry)
 	revision, err := g.cfg.Store.ReplaceStatus(ctx, g.cfg.Codec.RolloutKind(), next.Service, next.Revision, status)
 	if errors.Is(err, ErrConflict) {
-		g.gate.ended(nil) // The store answers.
+		g.gate.ended(nil) // A conflict is a response of the store.
 	} else {
 		g.gate.ended(err)
 	}
@@ -194,12 +197,13 @@
 		return
 	}
 	next.Revision = revision
-	g.rollouts.wrote(o, next)
+	g.rollouts.recordStored(o, next)
 	g.log.Info("rollout: status written", "service", next.Service, "version", next.Name, "state", phase.String(), "revision", revision)
 }
 
-// toWrite returns an order with a phase, and false while another write is under way.
-func (r *rollouts) toWrite(o *order, phase rollout.Phase) (rollout.Order, bool) {
+// beginWrite returns the order with the new phase. It returns false if another write is
+// in progress or the stored phase is final.
+func (r *rollouts) beginWrite(o *order, phase rollout.Phase) (rollout.Order, bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	next := o.stored
@@ -209,19 +213,20 @@
 	o.writing = true
 	next.Phase = phase
 	if next.Since.IsZero() {
-		next.Since = o.heard
+		next.Since = o.firstSeenAt
 	}
 	return next, true
 }
 
-func (r *rollouts) written(o *order) {
+func (r *rollouts) endWrite(o *order) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	o.writing = false
 }
 
-// wrote notes what the store has of an order.
-func (r *rollouts) wrote(o *order, stored rollout.Order) {
+// recordStored records the stored state of an order unless it is older than the known
+// one.
+func (r *rollouts) recordStored(o *order, stored rollout.Order) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if stored.Version != o.version || stored.Revision < o.stored.Revision {
@@ -229,19 +234,19 @@
 	}
 	o.stored = stored
 	if stored.Phase.Final() {
-		o.share.Apply(rolling.Step{Phase: stored.Phase})
+		o.splitter.Apply(rolling.Step{Phase: stored.Phase})
 	}
 }
 
-// state returns an order as the store has it, and when it is to be done.
-func (r *rollouts) state(o *order) (rollout.Order, time.Time) {
+// storedAndDeadline returns the stored order and its deadline.
+func (r *rollouts) storedAndDeadline(o *order) (rollout.Order, time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return o.stored, o.end
+	return o.stored, o.deadline
 }
 
-// readRollout reads an order whose write failed: the answer may have been lost, or the
-// order may have been changed.
+// readRollout reads an order after a failed write: the write may have succeeded with its
+// response lost, or the order may have changed.
 func (g *Gateway) readRollout(ctx context.Context, o *order) {
 	object, err := g.cfg.Store.Get(ctx, g.cfg.Codec.RolloutKind(), o.service)
 	if err != nil {
@@ -249,60 +254,60 @@
 		return
 	}
 	if held, err := g.cfg.Codec.Rollout(object); err == nil {
-		g.rollouts.wrote(o, held)
+		g.rollouts.recordStored(o, held)
 	}
 }
 
-// rolloutSteps returns how far orders have come, as it is told to all VMs.
-func (g *Gateway) rolloutSteps(open []*order) *peerpb.Rollouts {
+// rolloutSteps encodes the current steps of orders for all VMs.
+func (g *Gateway) rolloutSteps(active []*order) *peerpb.Rollouts {
 	now := clock.Now()
 	message := &peerpb.Rollouts{ForHall: true}
-	for _, o := range open {
+	for _, o := range active {
 		message.Steps = append(message.Steps, g.toStep(o, now))
 	}
 	return message
 }
 
-// askRollouts tells all VMs how far orders have come, and asks what they have seen: one VM
-// of each hall does so for its hall. With 985 VMs in nine halls that is 8 calls here, and
-// some 110 at one VM of each hall.
-func (g *Gateway) askRollouts(ctx context.Context, message *peerpb.Rollouts) sight {
-	seen := make(sight)
+// collectReports sends the steps of all orders to all VMs and merges their reports. It
+// calls one VM of each hall, which collects the reports of its hall.
+func (g *Gateway) collectReports(ctx context.Context, message *peerpb.Rollouts) reportsByService {
+	merged := make(reportsByService)
 	var mu sync.Mutex
-	var asked sync.WaitGroup
+	var wg sync.WaitGroup
 	for hall := range g.cfg.Halls {
-		asked.Go(func() {
-			reports := g.askHall(ctx, hall, message)
+		wg.Go(func() {
+			reports := g.collectHallReports(ctx, hall, message)
 			mu.Lock()
 			defer mu.Unlock()
 			for _, r := range reports {
 				if o, ok := g.rollouts.find(r.GetService(), rollout.Version(r.GetVersion())); ok {
-					seen.join(o.service, fromReport(r))
+					merged.merge(o.service, fromReport(r))
 				}
 			}
 		})
 	}
-	asked.Wait()
-	return seen
+	wg.Wait()
+	return merged
 }
 
-// askHall asks the VMs of one hall. Those that are not reached are missing in the sum.
-func (g *Gateway) askHall(ctx context.Context, hall string, message *peerpb.Rollouts) []*peerpb.RolloutReport {
+// collectHallReports returns the reports of one hall. VMs that cannot be reached are
+// missing from the sum.
+func (g *Gateway) collectHallReports(ctx context.Context, hall string, message *peerpb.Rollouts) []*peerpb.RolloutReport {
 	if hall == g.cfg.Hall {
 		return g.hearRollouts(ctx, g.cfg.VM, message).GetReports()
 	}
-	vms := g.inHall(hall)
-	for _, m := range vms[:min(len(vms), hallTries)] {
-		reply, err := g.callOfRollouts(ctx, m, message, hallTimeout)
+	vms := g.hallPeers(hall)
+	for _, m := range vms[:min(len(vms), maxHallAttempts)] {
+		reply, err := g.callRollouts(ctx, m, message, hallTimeout)
 		if err == nil {
 			return reply
 		}
-		g.log.Info("rollout: a hall was not asked", "peer", m.ID, "hall", hall, "error", err.Error())
+		g.log.Info("rollout: no reports from hall", "peer", m.ID, "hall", hall, "error", err.Error())
 	}
 	return nil
 }
 
-func (g *Gateway) callOfRollouts(ctx context.Context, m membership.Member, message *peerpb.Rollouts, timeout time.Duration) ([]*peerpb.RolloutReport, error) {
+func (g *Gateway) callRollouts(ctx context.Context, m membership.Member, message *peerpb.Rollouts, timeout time.Duration) ([]*peerpb.RolloutReport, error) {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	reply, err := g.peers.Call(ctx, peer.Target{VM: m.ID, Address: m.Peer}, &peerpb.Envelope{Kind: &peerpb.Envelope_Rollouts{Rollouts: message}})
@@ -310,95 +315,95 @@
 	return reply.GetRolloutReports().GetReports(), err
 }
 
-// hearRollouts takes in how far orders have come, and returns what this VM has seen, or
-// all VMs of its hall.
+// hearRollouts applies the steps it is sent and returns this VM's reports, merged with
+// those of the other VMs of its hall if the message asks for that.
 func (g *Gateway) hearRollouts(ctx context.Context, from string, message *peerpb.Rollouts) *peerpb.RolloutReports {
 	for _, step := range message.GetSteps() {
-		g.hearStep(from, step)
+		g.applyStep(from, step)
 	}
-	seen := make(map[*order]*rollout.Report)
-	for _, o := range g.rollouts.underWay() {
+	reports := make(map[*order]*rollout.Report)
+	for _, o := range g.rollouts.active() {
 		own := g.rolloutReport(o)
-		seen[o] = &own
+		reports[o] = &own
 	}
 	if message.GetForHall() {
-		g.askNeighbors(ctx, &peerpb.Rollouts{Steps: message.GetSteps()}, seen)
+		g.mergeHallReports(ctx, &peerpb.Rollouts{Steps: message.GetSteps()}, reports)
 	}
 	reply := &peerpb.RolloutReports{}
-	for o, r := range seen {
+	for o, r := range reports {
 		reply.Reports = append(reply.Reports, toReport(o, r))
 	}
 	return reply
 }
 
-// askNeighbors adds what the other VMs of this VM's hall have seen.
-func (g *Gateway) askNeighbors(ctx context.Context, message *peerpb.Rollouts, seen map[*order]*rollout.Report) {
+// mergeHallReports merges the reports of the other VMs of this VM's hall.
+func (g *Gateway) mergeHallReports(ctx context.Context, message *peerpb.Rollouts, merged map[*order]*rollout.Report) {
 	var mu sync.Mutex
-	var asked sync.WaitGroup
-	places := make(chan struct{}, reportsAtOnce)
-	for _, m := range g.inHall(g.cfg.Hall) {
-		places <- struct{}{}
-		asked.Go(func() {
-			defer func() { <-places }()
-			reports, err := g.callOfRollouts(ctx, m, message, vmTimeout)
+	var wg sync.WaitGroup
+	slots := make(chan struct{}, reportsAtOnce)
+	for _, m := range g.hallPeers(g.cfg.Hall) {
+		slots <- struct{}{}
+		wg.Go(func() {
+			defer func() { <-slots }()
+			reports, err := g.callRollouts(ctx, m, message, vmTimeout)
 			if err != nil {
-				g.log.V(1).Info("rollout: a VM was not asked", "peer", m.ID, "error", err.Error())
+				g.log.V(1).Info("rollout: no reports from VM", "peer", m.ID, "error", err.Error())
 				return
 			}
 			mu.Lock()
 			defer mu.Unlock()
 			for _, r := range reports {
-				if o, ok := g.rollouts.find(r.GetService(), rollout.Version(r.GetVersion())); ok && seen[o] != nil {
-					seen[o].Merge(fromReport(r))
+				if o, ok := g.rollouts.find(r.GetService(), rollout.Version(r.GetVersion())); ok && merged[o] != nil {
+					merged[o].Merge(fromReport(r))
 				}
 			}
 		})
 	}
-	asked.Wait()
+	wg.Wait()
 }
 
-// hearStep takes in how far one order has come. One that this VM has not heard of yet is
-// left for the next time: until then it sends nothing to the new version.
-func (g *Gateway) hearStep(from string, message *peerpb.RolloutStep) {
+// applyStep applies the step of one order. A step of an unknown order is ignored: this VM
+// sends nothing to the new version until it has read the order.
+func (g *Gateway) applyStep(from string, message *peerpb.RolloutStep) {
 	o, ok := g.rollouts.find(message.GetService(), rollout.Version(message.GetVersion()))
 	if !ok || from == g.cfg.VM {
 		return
 	}
 	step, err := fromStep(message)
 	if err != nil {
-		g.log.Info("rollout: a step that cannot be read", "peer", from, "service", o.service, "error", err.Error())
+		g.log.Info("rollout: step rejected", "peer", from, "service", o.service, "error", err.Error())
 		return
 	}
-	if o.share.Apply(step) {
-		g.log.V(1).Info("rollout: another VM has decided", "service", o.service, "version", o.name, "phase", step.Phase.String(), "peer", from)
+	if o.splitter.Apply(step) {
+		g.log.V(1).Info("rollout: phase set by another VM", "service", o.service, "version", o.name, "phase", step.Phase.String(), "peer", from)
 	}
-	g.rollouts.note(o, step.Reason, false)
-	g.rollouts.until(o, clock.Now().Add(time.Duration(message.GetLeftMillis())*time.Millisecond))
+	g.rollouts.recordReason(o, step.Reason, false)
+	g.rollouts.lowerDeadline(o, clock.Now().Add(time.Duration(message.GetLeftMillis())*time.Millisecond))
 }
 
-// until notes when an order is to be done, if another VM has heard of it earlier.
-func (r *rollouts) until(o *order, until time.Time) {
+// lowerDeadline moves the deadline forward if another VM saw the order earlier.
+func (r *rollouts) lowerDeadline(o *order, deadline time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if until.Before(o.end) {
-		o.end = until
+	if deadline.Before(o.deadline) {
+		o.deadline = deadline
 	}
 }
 
-// rolloutReport returns what this VM has seen of one order.
+// rolloutReport returns this VM's report on one order.
 func (g *Gateway) rolloutReport(o *order) rollout.Report {
-	r := o.share.Report()
+	r := o.splitter.Report()
 	s := g.snapshot.Load()
 	if s == nil {
 		return r
 	}
-	r.InFlightOld = g.underWay(s.Workers.Service(o.service))
-	r.InFlightNew = g.underWay(s.Workers.Track(o.service, worker.TrackNew))
+	r.InFlightOld = g.inFlightRequests(s.Workers.Service(o.service))
+	r.InFlightNew = g.inFlightRequests(s.Workers.Track(o.service, worker.TrackNew))
 	return r
 }
 
-// underWay returns how many requests of this VM workers have.
-func (g *Gateway) underWay(workers []*worker.Worker) int {
+// inFlightRequests returns the number of this VM's requests in flight at workers.
+func (g *Gateway) inFlightRequests(workers []*worker.Worker) int {
 	n := 0
 	for _, w := range workers {
 		if load, ok := g.loads.Lookup(w.Incarnation()); ok {
--- a/internal/gateway/rollouts.go
+++ b/internal/gateway/rollouts.go
@@ -17,111 +17,111 @@
 	"github.com/ryehill/ryehill/state/worker"
 )
 
-// maxOrders bounds the orders that are carried out at a time.
+// maxOrders bounds the number of concurrent orders.
 const maxOrders = 64
 
-// rollouts is this VM's part in bringing in new versions of services. It is safe for
-// concurrent use.
+// rollouts holds this VM's state of rollouts of new versions. It is safe for concurrent
+// use.
 type rollouts struct {
-	// part is the part of a service's requests that a version may get which is not
-	// proved; 0 knows no orders.
-	part float64
-	// shares are those of the orders under way, by service.
-	shares atomic.Pointer[map[string]*rolling.Splitter]
+	// maxFraction is the largest fraction of a service's requests that an unproven
+	// version gets. Rollouts are disabled if it is 0.
+	maxFraction float64
+	// splitters are the splitters of active orders, by service.
+	splitters atomic.Pointer[map[string]*rolling.Splitter]
 
 	mu     sync.Mutex
 	orders map[string]*order
 }
 
-// order is one order as this VM knows it.
+// order is the state of one rollout order at this VM.
 type order struct {
 	service string
 	version rollout.Version
-	// name is the version as the operator has written it.
-	name  string
-	share *rolling.Splitter
-	// heard is when this VM heard of it.
-	heard time.Time
-	// decider is set once this VM has decided, logged is when it last said what it waits
-	// for. Only rolloutLoop uses them.
-	decider *rolling.Decider
-	logged  time.Time
-
-	// What follows is under the lock of rollouts.
-
-	// stored is the order as the store has it.
+	// name is the version as written by the operator.
+	name     string
+	splitter *rolling.Splitter
+	// firstSeenAt is when this VM first read the order.
+	firstSeenAt time.Time
+	// decider is set once this VM has decided on the order; loggedAt is when it last
+	// logged progress. Only rolloutLoop uses them.
+	decider  *rolling.Decider
+	loggedAt time.Time
+
+	// The fields below are guarded by rollouts.mu.
+
+	// stored is the order as stored.
 	stored rollout.Order
-	// end is when it is to be done.
-	end time.Time
-	// reason says why the order is where it is, as the VM that decides has told.
+	// deadline is when the rollout must be complete.
+	deadline time.Time
+	// reason explains the current phase, as given by the deciding VM.
 	reason string
-	// decides is set while this VM decides.
-	decides bool
-	// writing is set while the store is written.
+	// isDecider is set while this VM decides on the order.
+	isDecider bool
+	// writing is set while a write to the store is in progress.
 	writing bool
 }
 
-func newRollouts(part float64) *rollouts {
-	r := &rollouts{part: part, orders: make(map[string]*order)}
-	r.shares.Store(&map[string]*rolling.Splitter{})
+func newRollouts(maxFraction float64) *rollouts {
+	r := &rollouts{maxFraction: maxFraction, orders: make(map[string]*order)}
+	r.splitters.Store(&map[string]*rolling.Splitter{})
 	return r
 }
 
 // Share implements ingress.Rollouts.
-func (r *rollouts) Share(service string) *rolling.Splitter { return (*r.shares.Load())[service] }
+func (r *rollouts) Share(service string) *rolling.Splitter { return (*r.splitters.Load())[service] }
 
-// enabled reports whether the fleet knows orders for new versions at all.
-func (r *rollouts) enabled() bool { return r.part > 0 }
+// enabled reports whether rollout orders are enabled in this fleet.
+func (r *rollouts) enabled() bool { return r.maxFraction > 0 }
 
-// take takes in the orders as the store has them, and returns those that are new.
-func (r *rollouts) take(orders []rollout.Order, now time.Time) (fresh []rollout.Order) {
+// applyOrders applies the stored orders and returns the new ones.
+func (r *rollouts) applyOrders(orders []rollout.Order, now time.Time) (added []rollout.Order) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	listed := make(map[string]bool, len(orders))
-	for _, next := range orders {
-		listed[next.Service] = true
-		held, ok := r.orders[next.Service]
-		if !ok || held.version != next.Version {
+	for _, latest := range orders {
+		listed[latest.Service] = true
+		held, ok := r.orders[latest.Service]
+		if !ok || held.version != latest.Version {
 			if !ok && len(r.orders) >= maxOrders {
 				continue
 			}
-			held = r.begin(next, now)
-			fresh = append(fresh, next)
+			held = r.addOrder(latest, now)
+			added = append(added, latest)
 		}
-		if next.Revision >= held.stored.Revision {
-			held.stored = next
+		if latest.Revision >= held.stored.Revision {
+			held.stored = latest
 		}
-		if next.Phase.Final() {
-			held.share.Apply(rolling.Step{Phase: next.Phase})
+		if latest.Phase.Final() {
+			held.splitter.Apply(rolling.Step{Phase: latest.Phase})
 		}
 	}
 	maps.DeleteFunc(r.orders, func(service string, _ *order) bool { return !listed[service] })
-	shares := make(map[string]*rolling.Splitter, len(r.orders))
+	splitters := make(map[string]*rolling.Splitter, len(r.orders))
 	for service, o := range r.orders {
 		if !o.stored.Phase.Final() {
-			shares[service] = o.share
+			splitters[service] = o.splitter
 		}
 	}
-	r.shares.Store(&shares)
-	return fresh
+	r.splitters.Store(&splitters)
+	return added
 }
 
-// begin holds an order that was not known. The time that it has had already counts, as
-// far as another VM has noted when it began.
-func (r *rollouts) begin(next rollout.Order, now time.Time) *order {
-	had := time.Duration(0)
+// addOrder adds a new order. Time that has passed since another VM recorded its start
+// counts towards its deadline.
+func (r *rollouts) addOrder(next rollout.Order, now time.Time) *order {
+	elapsed := time.Duration(0)
 	if !next.Since.IsZero() {
-		had = min(max(now.Sub(next.Since), 0), next.Duration)
+		elapsed = min(max(now.Sub(next.Since), 0), next.Duration)
 	}
 	o := &order{
-		service: next.Service, version: next.Version, name: next.Name, stored: next, heard: now, end: now.Add(next.Duration - had),
-		share: rolling.NewSplitter(rolling.SplitterConfig{Service: next.Service, Version: next.Version, MaxFraction: r.part, Now: clock.Now}),
+		service: next.Service, version: next.Version, name: next.Name, stored: next, firstSeenAt: now, deadline: now.Add(next.Duration - elapsed),
+		splitter: rolling.NewSplitter(rolling.SplitterConfig{Service: next.Service, Version: next.Version, MaxFraction: r.maxFraction, Now: clock.Now}),
 	}
 	r.orders[next.Service] = o
 	return o
 }
 
-// find returns an order that is known by its service and version.
+// find returns the order for a version of a service.
 func (r *rollouts) find(service string, version rollout.Version) (*order, bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -129,22 +129,22 @@
 	return o, ok && o.version == version
 }
 
-// underWay returns the orders of which the store does not say that nothing follows.
-func (r *rollouts) underWay() []*order {
+// active returns the orders whose stored phase is not final, sorted by service.
+func (r *rollouts) active() []*order {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	var open []*order
+	var active []*order
 	for _, o := range r.orders {
 		if !o.stored.Phase.Final() {
-			open = append(open, o)
+			active = append(active, o)
 		}
 	}
-	slices.SortFunc(open, func(a, b *order) int { return strings.Compare(a.service, b.service) })
-	return open
+	slices.SortFunc(active, func(a, b *order) int { return strings.Compare(a.service, b.service) })
+	return active
 }
 
-// compileRollouts takes in the orders for new versions. One that cannot be read changes
-// nothing.
+// compileRollouts applies the rollout orders in the replica. Orders that cannot be
+// decoded are skipped.
 func (g *Gateway) compileRollouts(now time.Time) {
 	if !g.rollouts.enabled() {
 		return
@@ -161,57 +161,58 @@
 		}
 		orders = append(orders, next)
 	}
-	for _, o := range g.rollouts.take(orders, now) {
+	for _, o := range g.rollouts.applyOrders(orders, now) {
 		g.log.Info("rollout: ordered", "service", o.Service, "version", o.Name, "within_ms", o.Duration.Milliseconds(), "state", o.Phase.String())
 	}
 }
 
-// known are the orders that are known at one moment, by service.
+// known holds the known orders at one point in time, by service.
 type known map[string]knownOrder
 
-// knownOrder is an order and how far it has come.
+// knownOrder is the version and the phase of an order.
 type knownOrder struct {
 	version rollout.Version
 	phase   rollout.Phase
 }
 
-// known returns the orders as they are now.
+// known returns the current orders.
 func (r *rollouts) known() known {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	orders := make(known, len(r.orders))
 	for service, o := range r.orders {
-		orders[service] = knownOrder{version: o.version, phase: o.share.Phase()}
+		orders[service] = knownOrder{version: o.version, phase: o.splitter.Phase()}
 	}
 	return orders
 }
 
-// versions says which version of each service is in use. Only compileLoop uses it.
+// versions holds the active version of each service. Only compileLoop uses it.
 type versions map[string]rollout.Version
 
-// divide returns the workers that may get requests, those of versions that are being
-// brought in marked as new. Nothing is sent to any other version than the one in use: one
-// that was rolled back, that nobody has ordered, or an old one that is about to end.
+// divide returns the workers that may get requests: those of the active version, and
+// those of a version being rolled out, marked as new. Workers of any other version get
+// none: it was rolled back, was never ordered, or is being retired.
 func (v versions) divide(all []*worker.Worker, orders known) []*worker.Worker {
-	v.find(all, orders)
-	used := make([]*worker.Worker, 0, len(all))
+	v.updateActive(all, orders)
+	selected := make([]*worker.Worker, 0, len(all))
 	for _, w := range all {
 		o := orders[w.Service]
 		switch {
 		case w.Version == v[w.Service]:
-			used = append(used, w)
+			selected = append(selected, w)
 		case w.Version == o.version && o.phase != rollout.PhaseRolledBack:
-			brought := *w
-			brought.New = true
-			used = append(used, &brought)
+			newWorker := *w
+			newWorker.New = true
+			selected = append(selected, &newWorker)
 		}
 	}
-	return used
+	return selected
 }
 
-// find notes the version of each service that is in use: the one that an order was
-// completed with, else the one that was before, else the one with the most slots.
-func (v versions) find(all []*worker.Worker, orders known) {
+// updateActive updates the active version of each service: the one of a completed order,
+// else the previous one if it still has workers, else the one with the most slots
+// among the versions that are not on order.
+func (v versions) updateActive(all []*worker.Worker, orders known) {
 	slots := make(map[string]map[rollout.Version]int)
 	for _, w := range all {
 		if slots[w.Service] == nil {
@@ -219,27 +220,27 @@
 		}
 		slots[w.Service][w.Version] += w.Slots
 	}
-	for service, of := range slots {
+	for service, slotsByVersion := range slots {
 		o, ordered := orders[service]
 		switch {
-		case ordered && o.phase == rollout.PhaseCompleted && of[o.version] > 0:
+		case ordered && o.phase == rollout.PhaseCompleted && slotsByVersion[o.version] > 0:
 			v[service] = o.version
-		case of[v[service]] > 0:
+		case slotsByVersion[v[service]] > 0:
 		default:
 			if ordered {
-				delete(of, o.version)
+				delete(slotsByVersion, o.version)
 			}
-			if version, ok := mostSlots(of); ok {
+			if version, ok := mostSlots(slotsByVersion); ok {
 				v[service] = version
 			}
 		}
 	}
 }
 
-// mostSlots returns the version with the most slots, the lower one of two.
-func mostSlots(of map[rollout.Version]int) (most rollout.Version, ok bool) {
-	for version, slots := range of {
-		if !ok || slots > of[most] || slots == of[most] && version < most {
+// mostSlots returns the version with the most slots; the lower version wins a tie.
+func mostSlots(slotsByVersion map[rollout.Version]int) (most rollout.Version, ok bool) {
+	for version, slots := range slotsByVersion {
+		if !ok || slots > slotsByVersion[most] || slots == slotsByVersion[most] && version < most {
 			most, ok = version, true
 		}
 	}
--- a/internal/gateway/rolloutwire.go
+++ b/internal/gateway/rolloutwire.go
@@ -13,24 +13,24 @@
 	"github.com/ryehill/ryehill/state/rollout"
 )
 
-// maxTallies bounds the tallies, and the routes, that are taken from one message.
+// maxTallies bounds the number of tallies, and of routes, read from one message.
 const maxTallies = 8192
 
 const million = 1_000_000
 
 func (g *Gateway) toStep(o *order, now time.Time) *peerpb.RolloutStep {
-	step := o.share.Step()
-	_, end := g.rollouts.state(o)
+	step := o.splitter.Step()
+	_, deadline := g.rollouts.storedAndDeadline(o)
 	message := &peerpb.RolloutStep{
 		Service: o.service, Version: uint64(o.version), Phase: uint32(step.Phase), WarmUp: step.WarmUp, Closed: step.Closed,
-		LeftMillis: end.Sub(now).Milliseconds(), Reason: step.Reason, SlowAfterMillis: make(map[string]uint32, len(step.SlowAfter)),
+		LeftMillis: deadline.Sub(now).Milliseconds(), Reason: step.Reason, SlowAfterMillis: make(map[string]uint32, len(step.SlowAfter)),
 		PartsPpm: make(map[string]uint32, len(step.CanaryFractions)),
 	}
 	for route, after := range step.SlowAfter {
 		message.SlowAfterMillis[route] = uint32(after.Milliseconds())
 	}
-	for route, part := range step.CanaryFractions {
-		message.PartsPpm[route] = uint32(part * million)
+	for route, fraction := range step.CanaryFractions {
+		message.PartsPpm[route] = uint32(fraction * million)
 	}
 	return message
 }
@@ -42,7 +42,7 @@
 		CanaryFractions: make(map[string]float64, len(message.GetPartsPpm())),
 	}
 	if message.GetPhase() > uint32(rollout.PhaseCompleted) || len(message.GetSlowAfterMillis())+len(message.GetPartsPpm()) > maxTallies {
-		return step, errors.Newf("phase %d with %d and %d routes", message.GetPhase(), len(message.GetSlowAfterMillis()), len(message.GetPartsPpm()))
+		return step, errors.Newf("invalid step: phase %d, %d latency bounds, %d canary fractions", message.GetPhase(), len(message.GetSlowAfterMillis()), len(message.GetPartsPpm()))
 	}
 	for route, ppm := range message.GetPartsPpm() {
 		step.CanaryFractions[route] = float64(min(ppm, million)) / million
@@ -64,15 +64,15 @@
 	for route, t := range r.Old {
 		message.Old = append(message.Old, toTally(rollout.TallyKey{Route: route}, t))
 	}
-	for subject, t := range r.New {
-		message.New = append(message.New, toTally(subject, t))
+	for key, t := range r.New {
+		message.New = append(message.New, toTally(key, t))
 	}
 	return message
 }
 
-func toTally(subject rollout.TallyKey, t rollout.Tally) *peerpb.RolloutTally {
+func toTally(key rollout.TallyKey, t rollout.Tally) *peerpb.RolloutTally {
 	return &peerpb.RolloutTally{
-		Route: subject.Route, Worker: subject.Worker, Ended: t.Ended, Failed: t.Failed, Slow: t.Slow, LogMillis: t.LogMillis,
+		Route: key.Route, Worker: key.Worker, Ended: t.Ended, Failed: t.Failed, Slow: t.Slow, LogMillis: t.LogMillis,
 	}
 }
 
--- a/internal/gateway/signals.go
+++ b/internal/gateway/signals.go
@@ -17,16 +17,17 @@
 )
 
 const (
-	// maxSignals bounds the workers of which signals are taken from one message.
+	// maxSignals bounds the workers whose signals are read from one message.
 	maxSignals = 256
-	// peerThatAsks stands for a VM that asks for news, whose name is not in its question.
+	// peerThatAsks names the source of signals in a query, which does not carry the name
+	// of its sender.
 	peerThatAsks = "a VM that asked for news"
 )
 
-// toldSignals returns what is known of workers from themselves, and which the store does not
-// tell. It goes with every question for news, every answer and every probe: to VMs of other
-// regions and those that start, wake or return from a cut as well, and while the store is
-// away. A signal ends with the life that it is about.
+// toldSignals returns the signals of workers that the store does not have. They are part
+// of each query for updates, each response and each probe, so that they also reach other
+// regions, VMs that start or reconnect, and all VMs while the store is unavailable. A
+// signal is dropped with the incarnation it is about.
 func (g *Gateway) toldSignals() map[string]*peerpb.WorkerSignals {
 	s, known := g.snapshot.Load(), g.loads.SharedSignals()
 	if s == nil || len(known) == 0 {
@@ -34,26 +35,27 @@
 	}
 	now := clock.Now()
 	confirmed := g.replica.Confirmed(g.cfg.Codec.WorkerKind())
-	told := make(map[string]*peerpb.WorkerSignals, len(known))
-	for life, signals := range known {
-		w, ok := s.Workers.ByIncarnation(life)
+	messages := make(map[string]*peerpb.WorkerSignals, len(known))
+	for incarnation, signals := range known {
+		w, ok := s.Workers.ByIncarnation(incarnation)
 		if !ok {
 			continue
 		}
-		message := toldLimit(now, signals.RateLimit)
+		message := limitMessage(now, signals.RateLimit)
 		if leaving := signals.Leaving; !leaving.Until.IsZero() && !w.Leaving {
-			// Never less than it is, so that a word which comes back binds no earlier.
+			// Rounded up, so that a signal that comes back to its sender does not shorten
+			// the time.
 			message.LeavingMillis = millis(max(leaving.Until.Sub(now)+time.Millisecond, 0))
 		}
-		if ended := signals.Exit; ended.Unconfirmed(confirmed, now) {
-			message.EndedMillis, message.ReturnedMillis = sinceMillis(now, ended.At), sinceMillis(now, ended.RespondedAt)
-			message.LivedFromMillis, message.LivedToMillis = sinceMillis(now, ended.NoExitDuring.From), sinceMillis(now, ended.NoExitDuring.To)
+		if exit := signals.Exit; exit.Unconfirmed(confirmed, now) {
+			message.EndedMillis, message.ReturnedMillis = millisSince(now, exit.At), millisSince(now, exit.RespondedAt)
+			message.LivedFromMillis, message.LivedToMillis = millisSince(now, exit.NoExitDuring.From), millisSince(now, exit.NoExitDuring.To)
 		}
 		if message.LeavingMillis != nil || message.EndedMillis != nil || message.LivedToMillis != nil || message.LimitPerS != nil {
-			told[life] = message
+			messages[incarnation] = message
 		}
 	}
-	return told
+	return messages
 }
 
 func millis(d time.Duration) *uint32 {
@@ -61,122 +63,125 @@
 	return &ms
 }
 
-// sinceMillis returns how long ago a moment was, nil for the zero time.
-func sinceMillis(now, at time.Time) *uint32 {
+// millisSince returns the milliseconds since a time, nil for the zero time.
+func millisSince(now, at time.Time) *uint32 {
 	if at.IsZero() {
 		return nil
 	}
 	return millis(now.Sub(at))
 }
 
-// before returns the moment so many milliseconds before another, the zero time for nil.
-func before(now time.Time, millis *uint32) time.Time {
+// millisBefore returns the time that is some milliseconds before now, the zero time for
+// nil.
+func millisBefore(now time.Time, millis *uint32) time.Time {
 	if millis == nil {
 		return time.Time{}
 	}
 	return now.Add(-time.Duration(*millis) * time.Millisecond)
 }
 
-// hearSignals takes in what workers have told or shown another VM.
-func (g *Gateway) hearSignals(from string, told map[string]*peerpb.WorkerSignals) {
+// hearSignals applies the signals of workers sent by another VM.
+func (g *Gateway) hearSignals(from string, messages map[string]*peerpb.WorkerSignals) {
 	s := g.snapshot.Load()
-	if s == nil || len(told) > maxSignals {
+	if s == nil || len(messages) > maxSignals {
 		return
 	}
 	now := clock.Now()
-	for life, message := range told {
-		w, ok := s.Workers.ByIncarnation(life)
+	for incarnation, message := range messages {
+		w, ok := s.Workers.ByIncarnation(incarnation)
 		if !ok {
 			continue
 		}
 		if message.LeavingMillis != nil {
-			left := min(time.Duration(message.GetLeavingMillis())*time.Millisecond, g.leaveWithin())
-			leaving := worker.Leaving{DrainWindow: worker.DrainWindow{ObservedAt: now, Until: now.Add(left)}, From: from}
-			if g.loads.GetOrCreate(life).Observe(leaving) {
-				g.log.V(1).Info("workers: another VM tells that one leaves", "worker", w.ID, "peer", from, "for_ms", left.Milliseconds())
+			remaining := min(time.Duration(message.GetLeavingMillis())*time.Millisecond, g.leaveWithin())
+			leaving := worker.Leaving{DrainWindow: worker.DrainWindow{ObservedAt: now, Until: now.Add(remaining)}, From: from}
+			if g.loads.GetOrCreate(incarnation).Observe(leaving) {
+				g.log.V(1).Info("workers: leaving signal received from peer", "worker", w.ID, "peer", from, "for_ms", remaining.Milliseconds())
 			}
 		}
-		ended := worker.SuspectedExit{
-			At: before(now, message.EndedMillis), RespondedAt: before(now, message.ReturnedMillis),
-			NoExitDuring: worker.Span{From: before(now, message.LivedFromMillis), To: before(now, message.LivedToMillis)},
+		exit := worker.SuspectedExit{
+			At: millisBefore(now, message.EndedMillis), RespondedAt: millisBefore(now, message.ReturnedMillis),
+			NoExitDuring: worker.Span{From: millisBefore(now, message.LivedFromMillis), To: millisBefore(now, message.LivedToMillis)},
 		}
-		if ended != (worker.SuspectedExit{}) {
-			g.loads.GetOrCreate(life).Observe(ended)
+		if exit != (worker.SuspectedExit{}) {
+			g.loads.GetOrCreate(incarnation).Observe(exit)
 		}
-		g.hearLimit(now, from, w, message)
+		g.applyLimit(now, from, w, message)
 	}
 }
 
-// toldLimit returns a message that tells a limit, or nothing if there is none to tell.
-func toldLimit(now time.Time, r worker.RateLimit) *peerpb.WorkerSignals {
+// limitMessage encodes a rate limit. The message is empty if there is none.
+func limitMessage(now time.Time, r worker.RateLimit) *peerpb.WorkerSignals {
 	if r.ReceivedAt.IsZero() {
 		return &peerpb.WorkerSignals{}
 	}
-	return &peerpb.WorkerSignals{LimitPerS: &r.PerSecond, LimitSentMillis: *sinceMillis(now, r.SentAt), LimitHeardMillis: *sinceMillis(now, r.ReceivedAt)}
+	return &peerpb.WorkerSignals{LimitPerS: &r.PerSecond, LimitSentMillis: *millisSince(now, r.SentAt), LimitHeardMillis: *millisSince(now, r.ReceivedAt)}
 }
 
-// hearLimit takes in the limit that a worker has named to another VM, if the message tells one.
-func (g *Gateway) hearLimit(now time.Time, from string, w *worker.Worker, message *peerpb.WorkerSignals) {
-	perS := message.GetLimitPerS()
-	if message.LimitPerS == nil || math.IsNaN(perS) || perS < 0 {
+// applyLimit applies the rate limit in a message, if any.
+func (g *Gateway) applyLimit(now time.Time, from string, w *worker.Worker, message *peerpb.WorkerSignals) {
+	ratePerSecond := message.GetLimitPerS()
+	if message.LimitPerS == nil || math.IsNaN(ratePerSecond) || ratePerSecond < 0 {
 		return
 	}
-	sent, heard := message.GetLimitSentMillis(), message.GetLimitHeardMillis()
-	limit := worker.RateLimit{PerSecond: perS, SentAt: before(now, &sent), ReceivedAt: before(now, &heard), From: from}
+	sent, received := message.GetLimitSentMillis(), message.GetLimitHeardMillis()
+	limit := worker.RateLimit{PerSecond: ratePerSecond, SentAt: millisBefore(now, &sent), ReceivedAt: millisBefore(now, &received), From: from}
 	if g.loads.GetOrCreate(w.Incarnation()).Observe(limit) {
-		g.log.V(1).Info("workers: another VM tells of a limit", "worker", w.ID, "peer", from, "named", limit.Finite(), "per_s", perS)
+		g.log.V(1).Info("workers: rate limit received from peer", "worker", w.ID, "peer", from, "named", limit.Finite(), "per_s", ratePerSecond)
 	}
 }
 
-// States of workers that are held back.
+// States of workers that are held back, as shown to operators and in metrics.
 const (
 	stateLeaving = "leaving"
 	stateResting = "resting"
 	stateLimited = "limited"
 )
 
-// maxHeldBack bounds the workers that operators are shown as held back.
+// maxHeldBack bounds the held-back workers shown to operators.
 const maxHeldBack = 100
 
-// mayBeHeldBack returns the workers that leave by the store's word, or that this VM knows
-// anything against: the few of all that may leave, rest or name a limit.
-func (g *Gateway) mayBeHeldBack(s *placement.Snapshot) map[string]*worker.Worker {
+// heldBackCandidates returns the workers that are leaving according to the store and
+// those with a constraint known to this VM: the few that may be held back.
+func (g *Gateway) heldBackCandidates(s *placement.Snapshot) map[string]*worker.Worker {
 	workers := make(map[string]*worker.Worker)
 	for _, w := range s.Workers.Leaving() {
 		workers[w.ID] = w
 	}
-	for life := range g.loads.Constrained() {
-		if w, ok := s.Workers.ByIncarnation(life); ok {
+	for incarnation := range g.loads.Constrained() {
+		if w, ok := s.Workers.ByIncarnation(incarnation); ok {
 			workers[w.ID] = w
 		}
 	}
 	return workers
 }
 
-// heldBack returns workers that leave, rest or name a limit, for operators, in the order of their ids.
+// heldBack returns the workers that are leaving, resting or rate-limited, sorted by ID,
+// for operators.
 func (g *Gateway) heldBack() []operator.HeldBackWorker {
 	s := g.snapshot.Load()
 	if s == nil {
 		return nil
 	}
 	now := clock.Now()
-	var shown []operator.HeldBackWorker
-	for _, w := range g.mayBeHeldBack(s) {
+	var workers []operator.HeldBackWorker
+	for _, w := range g.heldBackCandidates(s) {
 		h := operator.HeldBackWorker{Worker: w.ID, Service: w.Service, Hall: w.Hall}
 		if leaving, leaves := g.loads.Leaving(w); leaves {
 			h.State, h.From, h.LeftMillis = stateLeaving, leaving.From, max(leaving.Until.Sub(now), 0).Milliseconds()
-		} else if !showStanding(&h, g.loads.Availability(w, now), now) {
+		} else if !fillHeldBackState(&h, g.loads.Availability(w, now), now) {
 			continue
 		}
-		shown = append(shown, h)
+		workers = append(workers, h)
 	}
-	slices.SortFunc(shown, func(a, b operator.HeldBackWorker) int { return strings.Compare(a.Worker, b.Worker) })
-	return shown
+	slices.SortFunc(workers, func(a, b operator.HeldBackWorker) int { return strings.Compare(a.Worker, b.Worker) })
+	return workers
 }
 
-// showStanding fills in why a worker is held back, if it rests or names a limit.
-func showStanding(h *operator.HeldBackWorker, standing worker.Availability, now time.Time) bool {
-	switch s := standing.(type) {
+// fillHeldBackState sets the state of a resting or rate-limited worker. It returns false
+// for any other.
+func fillHeldBackState(h *operator.HeldBackWorker, availability worker.Availability, now time.Time) bool {
+	switch s := availability.(type) {
 	case worker.Resting:
 		h.State, h.From, h.LeftMillis = stateResting, worker.FromResponse, max(s.Until.Sub(now), 0).Milliseconds()
 	case worker.Limited:
@@ -187,7 +192,7 @@
 	return true
 }
 
-// tellHeldBack counts the workers that leave, rest or name a limit for the metrics.
+// tellHeldBack updates the metrics on held-back workers.
 func (g *Gateway) tellHeldBack() {
 	counts := make(map[string]int)
 	for _, h := range g.heldBack() {
@@ -198,7 +203,7 @@
 	}
 }
 
-// leaveWithin is for how long after its word a worker that leaves may get requests. The
-// margin is that of the store's word: a worker that is to end soon after it has spoken
-// would else end under the last of them.
+// leaveWithin is how long a leaving worker may still get requests after its signal. It
+// has the same margin as leaving through the store, so that a worker that exits soon
+// after its signal does not lose its last requests.
 func (g *Gateway) leaveWithin() time.Duration { return g.cfg.Bounds.ApplyWithin - applyMargin }
--- a/internal/gateway/unused.go
+++ b/internal/gateway/unused.go
@@ -17,17 +17,17 @@
 )
 
 const (
-	// unusedLines bounds the log lines on entries that are not used, a second; as many
-	// may come at once. Others are counted only.
-	unusedLines = 10
-	// maxUnusedShown bounds the entries that operators are shown.
+	// unusedLogRate bounds the log lines on unused entries, per second and as a burst.
+	// Entries over the limit are only counted.
+	unusedLogRate = 10
+	// maxUnusedShown bounds the entries shown to operators.
 	maxUnusedShown = 100
-	// maxShownText bounds a name, in bytes, and a reason, as they are shown.
-	maxShownText = 253
+	// maxDisplayBytes bounds names and reasons as shown, in bytes.
+	maxDisplayBytes = 253
 )
 
-// unused is the store's entries that are not used, since they cannot be read or name
-// nothing that can be used: any writer can put such a one there. It is safe for
+// unused holds stored entries that are not used because they are malformed or refer to
+// nothing usable; any writer to the store can create such an entry. It is safe for
 // concurrent use.
 type unused struct {
 	log     logr.Logger
@@ -47,11 +47,11 @@
 
 func newUnused(log logr.Logger, m *metrics.Set) *unused {
 	return &unused{
-		log: log, metrics: m, limiter: rate.NewLimiter(unusedLines, unusedLines), entries: make(map[unusedKey]unusedEntry),
+		log: log, metrics: m, limiter: rate.NewLimiter(unusedLogRate, unusedLogRate), entries: make(map[unusedKey]unusedEntry),
 	}
 }
 
-// known reports whether a version of an entry is known not to be used.
+// known reports whether a revision of an entry is recorded as unused.
 func (u *unused) known(kind string, o object.Object) bool {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -59,53 +59,54 @@
 	return ok && e.revision == o.Revision
 }
 
-// add notes and logs an entry that is not used, once for each version.
+// add records and logs an unused entry, once per revision.
 func (u *unused) add(kind string, o object.Object, cause error) {
 	if u.known(kind, o) {
 		return
 	}
 	u.note(kind, o, cause)
 	if u.limiter.Allow() {
-		u.log.Info("store: an entry is not used", "kind", kind, "name", shownText(o.Name), "revision", o.Revision, "reason", shownText(cause.Error()))
+		u.log.Info("store: entry not used", "kind", kind, "name", truncateText(o.Name), "revision", o.Revision, "reason", truncateText(cause.Error()))
 	}
 }
 
-// note notes a version of an entry that is not used.
+// note records a revision of an unused entry.
 func (u *unused) note(kind string, o object.Object, cause error) {
 	u.mu.Lock()
-	u.entries[unusedKey{kind, o.Name}] = unusedEntry{revision: o.Revision, reason: shownText(cause.Error())}
+	u.entries[unusedKey{kind, o.Name}] = unusedEntry{revision: o.Revision, reason: truncateText(cause.Error())}
 	u.mu.Unlock()
 	u.metrics.Unused(kind, string(object.ReasonOf(cause)))
 }
 
-// keep forgets the entries of a kind that are not there any more, or are used.
+// keep drops the recorded entries of a kind whose revision is not among the given
+// objects.
 func (u *unused) keep(kind string, objects []object.Object) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	if len(u.entries) == 0 {
 		return
 	}
-	there := make(map[string]uint64, len(objects))
+	present := make(map[string]uint64, len(objects))
 	for _, o := range objects {
-		there[o.Name] = o.Revision
+		present[o.Name] = o.Revision
 	}
 	for key, e := range u.entries {
-		if key.kind == kind && there[key.name] != e.revision {
+		if key.kind == kind && present[key.name] != e.revision {
 			delete(u.entries, key)
 		}
 	}
 }
 
-// shown returns the entries for operators, in the order of kinds and names.
+// shown returns the entries for operators, sorted by kind and name.
 func (u *unused) shown() []operator.UnusedEntry {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	shown := make([]operator.UnusedEntry, 0, len(u.entries))
+	listed := make([]operator.UnusedEntry, 0, len(u.entries))
 	for key, e := range u.entries {
-		shown = append(shown, operator.UnusedEntry{Kind: key.kind, Name: shownText(key.name), Reason: e.reason})
+		listed = append(listed, operator.UnusedEntry{Kind: key.kind, Name: truncateText(key.name), Reason: e.reason})
 	}
-	slices.SortFunc(shown, func(a, b operator.UnusedEntry) int { return strings.Compare(a.Kind+a.Name, b.Kind+b.Name) })
-	return shown[:min(len(shown), maxUnusedShown)]
+	slices.SortFunc(listed, func(a, b operator.UnusedEntry) int { return strings.Compare(a.Kind+a.Name, b.Kind+b.Name) })
+	return listed[:min(len(listed), maxUnusedShown)]
 }
 
-func shownText(text string) string { return text[:min(len(text), maxShownText)] }
+func truncateText(text string) string { return text[:min(len(text), maxDisplayBytes)] }
--- a/scripts/switch-off.sh
+++ b/scripts/switch-off.sh
@@ -51,7 +51,7 @@
 off moves-steer coordination/placement/steer.go 'if c.Rule() != steer.RuleMove || !c.Spend() {' 'if true {' ./internal/gateway TestDrainOfAHall
 off write-known-again internal/gateway/traffic.go 'case err == nil && by == operation && at > 0:' 'case false && by == operation:' ./internal/gateway TestLostAnswerToAStop
 off lapse-grace internal/gateway/lapse.go 'if !now.Before(graceEnd) {' 'if true {' ./internal/gateway TestEntriesThatLapse
-off outliers-together internal/gateway/outliers.go 'if len(told) == 0 || len(told) > maxOutcomes {' 'if true {' ./internal/gateway TestVMsSpareAFailingWorkerTogether
+off outliers-together internal/gateway/outliers.go 'if len(reported) == 0 || len(reported) > maxOutcomes {' 'if true {' ./internal/gateway TestVMsSpareAFailingWorkerTogether
 off most-spared coordination/placement/eligible.go 'if float64(len(spared)) > maxSparedShare' 'if false && float64(len(spared)) > maxSparedShare' ./coordination/placement TestSparedWorkers
 off time-over-is-no-failure transport/ingress/try.go 'return errors.Is(err, context.DeadlineExceeded) ||' 'return false && errors.Is(err, context.DeadlineExceeded) &&' ./transport/ingress TestOutcomesOfWorkers
 off soak-once coordination/retry/retry.go 'case !a.NotRun && !a.Idempotent:' 'case false:' ./platform 'TestSoak$'
@@ -95,7 +95,7 @@
 off key-needed transport/ingress/identify.go 'case !known:' 'case false:' ./transport/ingress TestWorkspacesAreKnownByTheirKeys
 off workspace-homes transport/ingress/identify.go '(q.workspace == nil || q.workspace.AllowsRegion(region))' 'true' ./transport/ingress TestHomesOfWorkspacesBind
 off strict-revocation internal/gateway/keys.go 'return !g.cfg.Bounds.StrictRevocation ||' 'return true ||' ./internal/gateway TestStrictRevocation
-off strangers-are-bounded internal/gateway/keys.go 'if now.Sub(k.last) < keyQuestionInterval {' 'if false {' ./internal/gateway TestStrangersAreNoLever
+off strangers-are-bounded internal/gateway/keys.go 'if now.Sub(k.lastFetch) < keyFetchInterval {' 'if false {' ./internal/gateway TestStrangersAreNoLever
 off quota-loans-end coordination/ratelimit/pool.go 'if !l.Until.After(now) && (first.VM' 'if false && (first.VM' ./coordination/ratelimit TestNoWindowExceedsTheLimit
 off quota-one-pool coordination/ratelimit/lender.go 'if pool != l.pool && now.Before(l.until) {' 'if false {' ./coordination/ratelimit TestRestartsAndNewPoolsAddNoTokens
 off quota-starts-empty coordination/ratelimit/own.go 'b := &bucket{lastRefill: s.createdAt}' 'b := &bucket{lastRefill: s.createdAt, tokens: 1e9}' ./coordination/ratelimit TestRestartsAndNewPoolsAddNoTokens
@@ -153,7 +153,7 @@
 off controller-back coordination/controller/controller.go 'case free < least/2 && m.Share > 0 || s.Usable == 0:' 'case false:' ./coordination/controller TestRules
 off controller-stale coordination/controller/controller.go 'if !ok || source.Age(f.Now) > intent.FreshStatus {' 'if !ok {' ./coordination/controller TestRules
 off quarantine-found internal/gateway/quarantine.go 'if !g.quarantines.table.Hear(e) {' 'if true {' ./internal/gateway 'TestRequestThatEndsWorkers/plain'
-off quarantine-told internal/gateway/quarantine.go 'go g.tellQuarantine([]quarantine.Entry{e}, nil)' '' ./internal/gateway TestAllVMsAreTold
+off quarantine-told internal/gateway/quarantine.go 'go g.broadcastQuarantine([]quarantine.Entry{e}, nil)' '' ./internal/gateway TestAllVMsAreTold
 off quarantine-kept internal/gateway/quarantinestore.go 'err := g.saveQuarantine(ctx, unsaved)' 'err := g.saveQuarantine(ctx, nil)' ./platform 'TestSessions/quarantine'
 off quarantine-answered coordination/poison/poison.go 'ok && !s.found {
 		delete' 'ok && !s.found && false {
@@ -174,7 +174,7 @@
 off limit-permits internal/gateway/gateway.go 'Demand: g.balancer.meter, Permits: g.permits,' 'Demand: g.balancer.meter,' ./internal/gateway TestWorkersThatNameALimit
 off limit-one-issuer internal/gateway/permits.go '!found || vm != p.gateway.cfg.VM {' '!found || vm == "" {' ./internal/gateway TestOnlyTheIssuerHandsOut
 off limit-isolated coordination/ratelimit/issuer.go 'if 2*d.LiveVMs < d.ListedVMs {' 'if false {' ./coordination/ratelimit TestIssuersStayWithinTheLimit
-off limit-told internal/gateway/signals.go 'message := toldLimit(now, signals.RateLimit)' 'message := &peerpb.WorkerSignals{}' ./platform 'TestSessions/limits'
+off limit-told internal/gateway/signals.go 'message := limitMessage(now, signals.RateLimit)' 'message := &peerpb.WorkerSignals{}' ./platform 'TestSessions/limits'
 off limit-tighter-first state/worker/ratelimit.go 'case previous.Finite() && r.PerSecond > previous.PerSecond && !r.earliestCreation().After(previous.ReceivedAt):' 'case false:' ./state/worker TestOutOfOrderRateLimits
 off limit-success-ends transport/ingress/signals.go 'case limit.Finite() || status < http.StatusMultipleChoices:' 'default:' ./transport/ingress TestLimitsAreHeard
 off limit-spills-over coordination/placement/placement.go 'if refusal == RefusalLimited {' 'if false {' ./coordination/placement TestRateLimitsAreEnforced
