--- a/internal/gateway/rollouts.go
+++ b/internal/gateway/rollouts.go
@@ -166,7 +166,7 @@
 	}
 }
 
-// known holds the known orders at one point in time, by service.
+// known holds all orders at one point in time, by service.
 type known map[string]knownOrder
 
 // knownOrder is the version and the phase of an order.
