--- a/internal/gateway/compile.go
+++ b/internal/gateway/compile.go
@@ -38,7 +38,7 @@
 	drainWindows  map[string]worker.DrainWindow
 	hallColdUntil map[string]time.Time
 	// versions are the versions in use, by service.
-	versions versions
+	versions activeVersions
 	// traffic holds the operators' moves and caps, at trafficVersion.
 	traffic        *view.View
 	trafficVersion uint64
@@ -47,7 +47,7 @@
 func newCompiler() compiler {
 	return compiler{
 		workers: make(map[string]*worker.Worker), closed: make(map[string]bool),
-		drainWindows: make(map[string]worker.DrainWindow), hallColdUntil: make(map[string]time.Time), versions: make(versions),
+		drainWindows: make(map[string]worker.DrainWindow), hallColdUntil: make(map[string]time.Time), versions: make(activeVersions),
 	}
 }
 
@@ -125,7 +125,7 @@
 // older than the current one, changes nothing.
 func (g *Gateway) compileRoutes(c *compiler) {
 	objects := g.replica.Objects(g.cfg.Codec.ConfigKind())
-	g.unused.keep(g.cfg.Codec.ConfigKind(), objects)
+	g.unused.retain(g.cfg.Codec.ConfigKind(), objects)
 	for _, o := range objects {
 		if o.Revision <= c.configRevision || o.Revision == c.refusedRevision {
 			continue
@@ -133,7 +133,7 @@
 		cfg, err := g.cfg.Codec.Routes(o)
 		if err != nil {
 			c.refusedRevision = o.Revision
-			g.unused.note(g.cfg.Codec.ConfigKind(), o, err)
+			g.unused.record(g.cfg.Codec.ConfigKind(), o, err)
 			g.log.Error(err, "config: not taken", "object", o.Name, "revision", o.Revision)
 			continue
 		}
@@ -142,7 +142,7 @@
 			continue
 		}
 		c.routes, c.pinnedShares = route.NewTable(cfg), cfg.Workspaces.HomeShares()
-		g.keyQuestions.forget()
+		g.keyQuestions.clearBadKeys()
 		g.cfg.Metrics.Generation(cfg.Version)
 		g.log.Info("config: in force", "version", cfg.Version, "revision", o.Revision, "routes", len(cfg.Routes),
 			"workspaces", cfg.Workspaces.Len())
@@ -190,7 +190,7 @@
 // the latest changes. The store accepted these changes after the time at which it last
 // confirmed the previous state.
 func (g *Gateway) drainWindow(kind string, now time.Time) worker.DrainWindow {
-	return worker.DrainWindow{ObservedAt: now, Until: g.replica.TakeEarliestChange(kind).Add(g.leaveWithin())}
+	return worker.DrainWindow{ObservedAt: now, Until: g.replica.TakeEarliestChange(kind).Add(g.leavingGrace())}
 }
 
 // compileWorkers returns the workers of the replica. It reuses the values of unchanged
@@ -221,7 +221,7 @@
 		}
 		list = append(list, w)
 	}
-	g.unused.keep(g.cfg.Codec.WorkerKind(), objects)
+	g.unused.retain(g.cfg.Codec.WorkerKind(), objects)
 	retained := lapsedWorkers(c.workers, next, now, &g.outage, g.loads)
 	if len(retained) > 0 {
 		g.log.Info("workers: keeping entries that lapsed while the store was unavailable", "entries", len(retained), "listed", len(list))
@@ -232,7 +232,7 @@
 	}
 	c.workers = next
 	if g.rollouts.enabled() {
-		list = c.versions.divide(list, g.rollouts.known())
+		list = c.versions.selectWorkers(list, g.rollouts.snapshot())
 	}
 	return worker.SetOf(list)
 }
--- a/internal/gateway/export_test.go
+++ b/internal/gateway/export_test.go
@@ -171,14 +171,14 @@
 }
 
 // KeyQuestions is keyQuestions, for tests.
-type KeyQuestions struct{ *keyQuestions }
+type KeyQuestions struct{ *keyFetches }
 
 // NewKeyQuestions returns questions that nobody has asked yet.
-func NewKeyQuestions() KeyQuestions { return KeyQuestions{newKeyQuestions()} }
+func NewKeyQuestions() KeyQuestions { return KeyQuestions{newKeyFetches()} }
 
 // Asks reports whether a request with an unknown key makes the VM ask another one.
 func (k KeyQuestions) Asks(key workspace.Digest, now time.Time) bool {
-	_, ask := k.begin(key, now)
+	_, ask := k.beginFetch(key, now)
 	return ask
 }
 
@@ -192,7 +192,7 @@
 func (g *Gateway) Confirmed(kind string) time.Time { return g.replica.ConfirmedAt(kind) }
 
 // HearListedVMs is hearListedVMs, for tests.
-func (g *Gateway) HearListedVMs(n uint32) { g.hearListedVMs(n) }
+func (g *Gateway) HearListedVMs(n uint32) { g.recordListedVMs(n) }
 
 // Controls reports whether this VM steps moves and roll-outs.
 func (g *Gateway) Controls() bool { return g.isController() }
@@ -203,11 +203,11 @@
 // Divided returns how many workers of the version in use and of one that is being brought in
 // a VM uses that knows of one order, or of none if its version is 0.
 func Divided(workers []*worker.Worker, service string, version rollout.Version, phase rollout.Phase) (stable, brought int) {
-	orders := make(known)
+	orders := make(knownOrders)
 	if version > 0 {
 		orders[service] = knownOrder{version: version, phase: phase}
 	}
-	return counted(make(versions).divide(workers, orders))
+	return counted(make(activeVersions).selectWorkers(workers, orders))
 }
 
 func counted(used []*worker.Worker) (stable, brought int) {
@@ -222,14 +222,14 @@
 }
 
 // Versions is versions, for tests.
-type Versions struct{ versions }
+type Versions struct{ activeVersions }
 
 // NewVersions returns versions of which nothing is known.
-func NewVersions() Versions { return Versions{make(versions)} }
+func NewVersions() Versions { return Versions{make(activeVersions)} }
 
 // Stable returns how many workers of the version in use there are, without any order.
 func (v Versions) Stable(workers []*worker.Worker) int {
-	stable, _ := counted(v.divide(workers, nil))
+	stable, _ := counted(v.selectWorkers(workers, nil))
 	return stable
 }
 
@@ -259,4 +259,4 @@
 
 // Issues returns how many requests to a life of a worker this VM hands out if it is asked
 // for more than there are.
-func (g *Gateway) Issues(life string) int { return g.permits.issueLife(life, 0, 100).Requests }
+func (g *Gateway) Issues(life string) int { return g.permits.issueByIncarnation(life, 0, 100).Requests }
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -114,7 +114,7 @@
 	// quarantines tracks the requests that crash workers.
 	quarantines *quarantines
 	// keyQuestions limits the lookups of unknown API keys.
-	keyQuestions *keyQuestions
+	keyQuestions *keyFetches
 	// compiledConfig is the revision of the newest configuration in the snapshot.
 	compiledConfig atomic.Uint64
 	placer         *placement.Placer
@@ -136,7 +136,7 @@
 		compiler: newCompiler(),
 		meters:   load.NewHallMeters(clock.Now), outlierDetector: outlier.New(outlier.Config{Now: clock.Now}),
 		serveErrors: make(chan error, 1), watchers: newWatchers(), knowledge: newKnowledge(), largeReplies: newLargeReplies(),
-		neighbors: newNeighbors(), deltaCache: newDeltaCache(), relayed: newRelayed(), storeBackoff: &storeBackoff{}, keyQuestions: newKeyQuestions(),
+		neighbors: newNeighbors(), deltaCache: newDeltaCache(), relayed: newRelayed(), storeBackoff: &storeBackoff{}, keyQuestions: newKeyFetches(),
 		quarantines: newQuarantines(), rollouts: newRollouts(cfg.Bounds.RolloutShare), unused: newUnused(cfg.Log, cfg.Metrics),
 		lifecycle: fsm.NewFSM(phaseStarting, fsm.Events{
 			{Name: "serve", Src: []string{phaseStarting}, Dst: phaseServing},
@@ -167,7 +167,7 @@
 		HallMeters: g.meters,
 		VMCount:    func() int { return g.members.Len() + 1 },
 		VM:         cfg.VM, Decisions: g.decisions, StateAge: g.maxReplicaAge, Limiter: g, Keys: g, Quarantine: g.quarantines, Rollouts: g.rollouts, Now: clock.Now,
-		LeavingGrace: g.leaveWithin(),
+		LeavingGrace: g.leavingGrace(),
 		Retry:        retry.Config{Ratio: share.PPM(cfg.Bounds.RetryRatio * retryRatioFraction * float64(share.Whole)), Burst: retryBurst},
 	})
 	if err := g.listen(); err != nil {
--- a/internal/gateway/keys.go
+++ b/internal/gateway/keys.go
@@ -29,8 +29,8 @@
 	revokeMargin = 300 * time.Millisecond
 )
 
-// keyQuestions rate-limits fetches of keys. It is safe for concurrent use.
-type keyQuestions struct {
+// keyFetches rate-limits fetches of keys. It is safe for concurrent use.
+type keyFetches struct {
 	mu sync.Mutex
 	// lastFetch is when the last fetch began; fetchDone is closed when it ends.
 	lastFetch time.Time
@@ -39,15 +39,15 @@
 	badKeys map[workspace.Digest]time.Time
 }
 
-func newKeyQuestions() *keyQuestions {
+func newKeyFetches() *keyFetches {
 	done := make(chan struct{})
 	close(done)
-	return &keyQuestions{fetchDone: done, badKeys: make(map[workspace.Digest]time.Time)}
+	return &keyFetches{fetchDone: done, badKeys: make(map[workspace.Digest]time.Time)}
 }
 
-// begin returns a channel that is closed when the fetch for a key ends, and whether the
+// beginFetch returns a channel that is closed when the fetch for a key ends, and whether the
 // caller has to run that fetch. The channel is nil for a key that is known to be bad.
-func (k *keyQuestions) begin(key workspace.Digest, now time.Time) (done chan struct{}, fetch bool) {
+func (k *keyFetches) beginFetch(key workspace.Digest, now time.Time) (done chan struct{}, fetch bool) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	if since, ok := k.badKeys[key]; ok && now.Sub(since) < badKeyTTL {
@@ -64,8 +64,8 @@
 	return k.fetchDone, true
 }
 
-// forget clears the bad keys after a change of the configuration.
-func (k *keyQuestions) forget() {
+// clearBadKeys clears the bad keys after a change of the configuration.
+func (k *keyFetches) clearBadKeys() {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	clear(k.badKeys)
@@ -74,7 +74,7 @@
 // RefreshKeys implements ingress.Keys. It queries the VM from which this one gets its updates,
 // not the store.
 func (g *Gateway) RefreshKeys(ctx context.Context, key workspace.Digest) {
-	done, fetch := g.keyQuestions.begin(key, clock.Now())
+	done, fetch := g.keyQuestions.beginFetch(key, clock.Now())
 	if done == nil {
 		return
 	}
--- a/internal/gateway/knowledge.go
+++ b/internal/gateway/knowledge.go
@@ -92,7 +92,7 @@
 			}
 		}
 		g.reportCopies()
-		g.tellHeldBack()
+		g.updateHeldBackMetrics()
 		sleep(ctx, knowledgeInterval)
 	}
 }
--- a/internal/gateway/loads.go
+++ b/internal/gateway/loads.go
@@ -14,15 +14,15 @@
 // maxLoads bounds the workers whose load is read from one message.
 const maxLoads = 1024
 
-// hearLoads applies load reports that other VMs of the region got from workers. One VM
+// applyLoads applies load reports that other VMs of the region got from workers. One VM
 // alone sends a worker too few requests to know its load.
-func (g *Gateway) hearLoads(reported map[string]*peerpb.WorkerLoad) {
+func (g *Gateway) applyLoads(reported map[string]*peerpb.WorkerLoad) {
 	g.applyLoadReports(reported, (*worker.Load).MergeReport)
 }
 
-// passOnLoads applies load reports from VMs that query this one, and forwards them to the
+// applyAndForwardLoads applies load reports from VMs that query this one, and forwards them to the
 // VM that this one queries.
-func (g *Gateway) passOnLoads(reported map[string]*peerpb.WorkerLoad) {
+func (g *Gateway) applyAndForwardLoads(reported map[string]*peerpb.WorkerLoad) {
 	g.applyLoadReports(reported, (*worker.Load).MergeAndForwardReport)
 }
 
@@ -46,8 +46,8 @@
 	mark *peerpb.LoadsMark
 }
 
-// of returns the mark for a query to a VM, nil if the last query went to another one.
-func (m *loadsMark) of(vm string) *peerpb.LoadsMark {
+// forVM returns the mark for a query to a VM, nil if the last query went to another one.
+func (m *loadsMark) forVM(vm string) *peerpb.LoadsMark {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if m.vm != vm {
--- a/internal/gateway/operators.go
+++ b/internal/gateway/operators.go
@@ -46,7 +46,7 @@
 	}
 	slices.SortFunc(s.Halls, func(a, b load.HallStatus) int { return strings.Compare(a.Hall, b.Hall) })
 	heldBack := g.heldBack()
-	s.Unused, s.HeldBack = g.unused.shown(), heldBack[:min(len(heldBack), maxHeldBack)]
+	s.Unused, s.HeldBack = g.unused.list(), heldBack[:min(len(heldBack), maxHeldBack)]
 	t := g.traffic()
 	s.Moves, s.Caps, s.Leaving = t.Moves, t.Caps, t.Leaving
 	return s
--- a/internal/gateway/outliers.go
+++ b/internal/gateway/outliers.go
@@ -14,10 +14,10 @@
 // maxOutcomes bounds the workers in one message.
 const maxOutcomes = 512
 
-// takeOutcomes updates outlier detection with the outcomes that this VM has seen since
+// drainOutcomes updates outlier detection with the outcomes that this VM has seen since
 // the last call. It returns them, merged with those of VMs that query this one, for the
 // watcher of the region, which sums up the outcomes of all its VMs.
-func (g *Gateway) takeOutcomes() map[string]worker.Outcomes {
+func (g *Gateway) drainOutcomes() map[string]worker.Outcomes {
 	outcomes := g.loads.DrainOutcomes(maxOutcomes)
 	g.outlierDetector.AddOutcomes(outcomes)
 	ejected := g.outlierDetector.Ejected()
@@ -52,8 +52,8 @@
 	}
 }
 
-// hearOutcomes adds the outcomes reported by another VM.
-func (g *Gateway) hearOutcomes(reported map[string]*peerpb.Outcomes) {
+// applyOutcomes adds the outcomes reported by another VM.
+func (g *Gateway) applyOutcomes(reported map[string]*peerpb.Outcomes) {
 	if len(reported) == 0 || len(reported) > maxOutcomes {
 		return
 	}
@@ -73,9 +73,9 @@
 	return out
 }
 
-// sparedMillis returns the workers ejected by this VM or by the one it queries, with the
+// ejectedMillis returns the workers ejected by this VM or by the one it queries, with the
 // remaining time in milliseconds.
-func (g *Gateway) sparedMillis() map[string]uint32 {
+func (g *Gateway) ejectedMillis() map[string]uint32 {
 	ejected := g.outlierDetector.Ejected()
 	g.relayed.addSpared(ejected, clock.Now())
 	out := make(map[string]uint32, len(ejected))
@@ -85,8 +85,8 @@
 	return out
 }
 
-// hearSpared applies the ejections sent by the region's watcher.
-func (g *Gateway) hearSpared(reported map[string]uint32) {
+// applyEjections applies the ejections sent by the region's watcher.
+func (g *Gateway) applyEjections(reported map[string]uint32) {
 	ejected := make(map[string]time.Duration, len(reported))
 	for id, millis := range reported {
 		ejected[id] = time.Duration(millis) * time.Millisecond
--- a/internal/gateway/peers.go
+++ b/internal/gateway/peers.go
@@ -64,7 +64,7 @@
 }
 
 func (g *Gateway) probeMessage(to string) *peerpb.Probe {
-	p := &peerpb.Probe{Replicas: make(map[string]uint64), Signals: g.toldSignals()}
+	p := &peerpb.Probe{Replicas: make(map[string]uint64), Signals: g.outgoingSignals()}
 	for _, kind := range g.replicatedKinds() {
 		p.Replicas[kind] = g.replica.LastChanged(kind)
 	}
@@ -88,7 +88,7 @@
 // has and this VM lacks, unless the parent is about to send them.
 func (g *Gateway) handleProbe(from peer.Target, p *peerpb.Probe) {
 	g.members.ApplyUpdates(peer.DecodeMembers(p.GetNews()))
-	g.hearSignals(from.VM, p.GetSignals())
+	g.applySignals(from.VM, p.GetSignals())
 	for _, kind := range g.replicatedKinds() {
 		at, known := g.replica.CompleteUpTo(kind)
 		peerRevision := p.GetReplicas()[kind]
@@ -139,15 +139,15 @@
 	case *peerpb.Envelope_Balance:
 		reply = &peerpb.Envelope{Kind: &peerpb.Envelope_Balanced{Balanced: g.handleBalance(from, k.Balance)}}
 	case *peerpb.Envelope_Allow:
-		reply = &peerpb.Envelope{Kind: &peerpb.Envelope_Allowed{Allowed: g.allowed(from.VM, k.Allow)}}
+		reply = &peerpb.Envelope{Kind: &peerpb.Envelope_Allowed{Allowed: g.handleAllow(from.VM, k.Allow)}}
 	case *peerpb.Envelope_PermitDemand:
-		reply = &peerpb.Envelope{Kind: &peerpb.Envelope_Permits{Permits: g.permits.answer(from.VM, k.PermitDemand)}}
+		reply = &peerpb.Envelope{Kind: &peerpb.Envelope_Permits{Permits: g.permits.handleDemand(from.VM, k.PermitDemand)}}
 	case *peerpb.Envelope_HangUps:
-		reply = &peerpb.Envelope{Kind: &peerpb.Envelope_QuarantineTaken{QuarantineTaken: g.hearHangUps(from.VM, k.HangUps)}}
+		reply = &peerpb.Envelope{Kind: &peerpb.Envelope_QuarantineTaken{QuarantineTaken: g.handleHangUps(from.VM, k.HangUps)}}
 	case *peerpb.Envelope_Quarantine:
-		reply = &peerpb.Envelope{Kind: &peerpb.Envelope_QuarantineTaken{QuarantineTaken: g.hearQuarantine(from.VM, k.Quarantine)}}
+		reply = &peerpb.Envelope{Kind: &peerpb.Envelope_QuarantineTaken{QuarantineTaken: g.handleQuarantine(from.VM, k.Quarantine)}}
 	case *peerpb.Envelope_Rollouts:
-		reply = &peerpb.Envelope{Kind: &peerpb.Envelope_RolloutReports{RolloutReports: g.hearRollouts(ctx, from.VM, k.Rollouts)}}
+		reply = &peerpb.Envelope{Kind: &peerpb.Envelope_RolloutReports{RolloutReports: g.handleRollouts(ctx, from.VM, k.Rollouts)}}
 	case *peerpb.Envelope_Report:
 		reply = &peerpb.Envelope{Kind: &peerpb.Envelope_Reported{Reported: g.reportReply()}}
 	default:
--- a/internal/gateway/permits.go
+++ b/internal/gateway/permits.go
@@ -160,7 +160,7 @@
 		g.log.V(1).Info("permits: query to issuer failed", "peer", m.ID, "error", err.Error())
 		return nil, err
 	}
-	g.hearSignals(m.ID, answer.GetSignals())
+	g.applySignals(m.ID, answer.GetSignals())
 	granted := make(ratelimit.Grants, len(wanted))
 	for i, incarnation := range demand.GetLives() {
 		granted[incarnation] = ratelimit.Grant{
@@ -183,16 +183,16 @@
 	return signals
 }
 
-// answer handles a permit query from another VM.
-func (p *permits) answer(from string, demand *peerpb.PermitDemand) *peerpb.Permits {
+// handleDemand handles a permit query from another VM.
+func (p *permits) handleDemand(from string, demand *peerpb.PermitDemand) *peerpb.Permits {
 	g := p.gateway
-	g.hearSignals(from, demand.GetSignals())
+	g.applySignals(from, demand.GetSignals())
 	incarnations, wanted := demand.GetLives(), demand.GetWanted()
 	incarnations = incarnations[:min(len(incarnations), len(wanted), maxPermitWorkers)]
 	answer, want := &peerpb.Permits{}, make(ratelimit.RequestCounts, len(incarnations))
 	for i, incarnation := range incarnations {
 		n := int(min(wanted[i], maxPermitsWanted))
-		grant := p.issueLife(incarnation, int(min(demand.GetPriority(), maxPriority)), n)
+		grant := p.issueByIncarnation(incarnation, int(min(demand.GetPriority(), maxPriority)), n)
 		answer.Granted = append(answer.Granted, uint32(grant.Requests))
 		answer.WaitMillis = append(answer.WaitMillis, uint32(grant.RetryAfter.Milliseconds()))
 		want[incarnation] = n
@@ -204,9 +204,9 @@
 // maxPriority bounds the priority in a query.
 const maxPriority = 1 << 10
 
-// issueLife grants requests to a worker by the limit known to this VM. A worker without a
+// issueByIncarnation grants requests to a worker by the limit known to this VM. A worker without a
 // limit is granted all.
-func (p *permits) issueLife(incarnation string, priority, wanted int) ratelimit.Grant {
+func (p *permits) issueByIncarnation(incarnation string, priority, wanted int) ratelimit.Grant {
 	s := p.gateway.snapshot.Load()
 	if s == nil {
 		return ratelimit.Grant{RetryAfter: noIssuerRetryAfter}
--- a/internal/gateway/quarantine.go
+++ b/internal/gateway/quarantine.go
@@ -308,8 +308,8 @@
 	return reply.GetQuarantineTaken(), err
 }
 
-// hearHangUps handles a report of hang-ups from another VM.
-func (g *Gateway) hearHangUps(from string, message *peerpb.HangUps) *peerpb.QuarantineTaken {
+// handleHangUps handles a report of hang-ups from another VM.
+func (g *Gateway) handleHangUps(from string, message *peerpb.HangUps) *peerpb.QuarantineTaken {
 	hangUps, answered, err := fromHangUps(message, clock.Now())
 	if err != nil {
 		g.log.Info("quarantine: invalid hang-ups received", "peer", from, "error", err.Error())
@@ -317,8 +317,8 @@
 	return &peerpb.QuarantineTaken{Entries: g.encodeEntries(g.collectHangUps(hangUps, answered))}
 }
 
-// hearQuarantine applies entries and releases sent by another VM.
-func (g *Gateway) hearQuarantine(from string, message *peerpb.Quarantine) *peerpb.QuarantineTaken {
+// handleQuarantine applies entries and releases sent by another VM.
+func (g *Gateway) handleQuarantine(from string, message *peerpb.Quarantine) *peerpb.QuarantineTaken {
 	g.applyEntries(from, message.GetEntries())
 	for _, raw := range message.GetReleased() {
 		f, err := quarantine.FingerprintFromBytes(raw)
--- a/internal/gateway/quarantinestore.go
+++ b/internal/gateway/quarantinestore.go
@@ -111,7 +111,7 @@
 	}
 	var entries []quarantine.Entry
 	objects := g.replica.Objects(kind)
-	g.unused.keep(kind, objects)
+	g.unused.retain(kind, objects)
 	for _, o := range objects {
 		e, err := decodeEntry(o.Spec, clock.Now())
 		if err == nil && e.Fingerprint.String() != o.Name {
--- a/internal/gateway/quota.go
+++ b/internal/gateway/quota.go
@@ -75,8 +75,8 @@
 	return int(g.quotas.reportedVMs.Load())
 }
 
-// hearListedVMs records the number of listed VMs reported by a peer.
-func (g *Gateway) hearListedVMs(n uint32) {
+// recordListedVMs records the number of listed VMs reported by a peer.
+func (g *Gateway) recordListedVMs(n uint32) {
 	if n > 0 && n <= spec.MaxVMs {
 		g.quotas.reportedVMs.Store(n)
 	}
@@ -233,8 +233,8 @@
 	return ratelimit.Grant{RetryAfter: g.cfg.Bounds.Quota.Window}
 }
 
-// allowed handles a pool query from another VM.
-func (g *Gateway) allowed(from string, request *peerpb.Allow) *peerpb.Allowed {
+// handleAllow handles a pool query from another VM.
+func (g *Gateway) handleAllow(from string, request *peerpb.Allow) *peerpb.Allowed {
 	switch {
 	case request.GetVms() == 0:
 	case request.GetUntilMillis() == 0:
--- a/internal/gateway/rolloutloop.go
+++ b/internal/gateway/rolloutloop.go
@@ -294,7 +294,7 @@
 // missing from the sum.
 func (g *Gateway) collectHallReports(ctx context.Context, hall string, message *peerpb.Rollouts) []*peerpb.RolloutReport {
 	if hall == g.cfg.Hall {
-		return g.hearRollouts(ctx, g.cfg.VM, message).GetReports()
+		return g.handleRollouts(ctx, g.cfg.VM, message).GetReports()
 	}
 	vms := g.hallPeers(hall)
 	for _, m := range vms[:min(len(vms), maxHallAttempts)] {
@@ -315,9 +315,9 @@
 	return reply.GetRolloutReports().GetReports(), err
 }
 
-// hearRollouts applies the steps it is sent and returns this VM's reports, merged with
+// handleRollouts applies the steps it is sent and returns this VM's reports, merged with
 // those of the other VMs of its hall if the message asks for that.
-func (g *Gateway) hearRollouts(ctx context.Context, from string, message *peerpb.Rollouts) *peerpb.RolloutReports {
+func (g *Gateway) handleRollouts(ctx context.Context, from string, message *peerpb.Rollouts) *peerpb.RolloutReports {
 	for _, step := range message.GetSteps() {
 		g.applyStep(from, step)
 	}
--- a/internal/gateway/rollouts.go
+++ b/internal/gateway/rollouts.go
@@ -151,7 +151,7 @@
 	}
 	kind := g.cfg.Codec.RolloutKind()
 	objects := g.replica.Objects(kind)
-	g.unused.keep(kind, objects)
+	g.unused.retain(kind, objects)
 	var orders []rollout.Order
 	for _, o := range objects {
 		next, err := g.cfg.Codec.Rollout(o)
@@ -166,8 +166,8 @@
 	}
 }
 
-// known holds all orders at one point in time, by service.
-type known map[string]knownOrder
+// knownOrders holds all orders at one point in time, by service.
+type knownOrders map[string]knownOrder
 
 // knownOrder is the version and the phase of an order.
 type knownOrder struct {
@@ -175,24 +175,24 @@
 	phase   rollout.Phase
 }
 
-// known returns the current orders.
-func (r *rollouts) known() known {
+// snapshot returns the current orders.
+func (r *rollouts) snapshot() knownOrders {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	orders := make(known, len(r.orders))
+	orders := make(knownOrders, len(r.orders))
 	for service, o := range r.orders {
 		orders[service] = knownOrder{version: o.version, phase: o.splitter.Phase()}
 	}
 	return orders
 }
 
-// versions holds the active version of each service. Only compileLoop uses it.
-type versions map[string]rollout.Version
+// activeVersions holds the active version of each service. Only compileLoop uses it.
+type activeVersions map[string]rollout.Version
 
-// divide returns the workers that may get requests: those of the active version, and
+// selectWorkers returns the workers that may get requests: those of the active version, and
 // those of a version being rolled out, marked as new. Workers of any other version get
 // none: it was rolled back, was never ordered, or is being retired.
-func (v versions) divide(all []*worker.Worker, orders known) []*worker.Worker {
+func (v activeVersions) selectWorkers(all []*worker.Worker, orders knownOrders) []*worker.Worker {
 	v.updateActive(all, orders)
 	selected := make([]*worker.Worker, 0, len(all))
 	for _, w := range all {
@@ -212,7 +212,7 @@
 // updateActive updates the active version of each service: the one of a completed order,
 // else the previous one if it still has workers, else the one with the most slots
 // among the versions that are not on order.
-func (v versions) updateActive(all []*worker.Worker, orders known) {
+func (v activeVersions) updateActive(all []*worker.Worker, orders knownOrders) {
 	slots := make(map[string]map[rollout.Version]int)
 	for _, w := range all {
 		if slots[w.Service] == nil {
--- a/internal/gateway/signals.go
+++ b/internal/gateway/signals.go
@@ -19,16 +19,16 @@
 const (
 	// maxSignals bounds the workers whose signals are read from one message.
 	maxSignals = 256
-	// peerThatAsks names the source of signals in a query, which does not carry the name
+	// unnamedPeer names the source of signals in a query, which does not carry the name
 	// of its sender.
-	peerThatAsks = "a VM that asked for news"
+	unnamedPeer = "a VM that asked for news"
 )
 
-// toldSignals returns the signals of workers that the store does not have. They are part
+// outgoingSignals returns the signals of workers that the store does not have. They are part
 // of each query for updates, each response and each probe, so that they also reach other
 // regions, VMs that start or reconnect, and all VMs while the store is unavailable. A
 // signal is dropped with the incarnation it is about.
-func (g *Gateway) toldSignals() map[string]*peerpb.WorkerSignals {
+func (g *Gateway) outgoingSignals() map[string]*peerpb.WorkerSignals {
 	s, known := g.snapshot.Load(), g.loads.SharedSignals()
 	if s == nil || len(known) == 0 {
 		return nil
@@ -80,8 +80,8 @@
 	return now.Add(-time.Duration(*millis) * time.Millisecond)
 }
 
-// hearSignals applies the signals of workers sent by another VM.
-func (g *Gateway) hearSignals(from string, messages map[string]*peerpb.WorkerSignals) {
+// applySignals applies the signals of workers sent by another VM.
+func (g *Gateway) applySignals(from string, messages map[string]*peerpb.WorkerSignals) {
 	s := g.snapshot.Load()
 	if s == nil || len(messages) > maxSignals {
 		return
@@ -93,7 +93,7 @@
 			continue
 		}
 		if message.LeavingMillis != nil {
-			remaining := min(time.Duration(message.GetLeavingMillis())*time.Millisecond, g.leaveWithin())
+			remaining := min(time.Duration(message.GetLeavingMillis())*time.Millisecond, g.leavingGrace())
 			leaving := worker.Leaving{DrainWindow: worker.DrainWindow{ObservedAt: now, Until: now.Add(remaining)}, From: from}
 			if g.loads.GetOrCreate(incarnation).Observe(leaving) {
 				g.log.V(1).Info("workers: leaving signal received from peer", "worker", w.ID, "peer", from, "for_ms", remaining.Milliseconds())
@@ -192,8 +192,8 @@
 	return true
 }
 
-// tellHeldBack updates the metrics on held-back workers.
-func (g *Gateway) tellHeldBack() {
+// updateHeldBackMetrics updates the metrics on held-back workers.
+func (g *Gateway) updateHeldBackMetrics() {
 	counts := make(map[string]int)
 	for _, h := range g.heldBack() {
 		counts[h.State]++
@@ -203,7 +203,7 @@
 	}
 }
 
-// leaveWithin is how long a leaving worker may still get requests after its signal. It
+// leavingGrace is how long a leaving worker may still get requests after its signal. It
 // has the same margin as leaving through the store, so that a worker that exits soon
 // after its signal does not lose its last requests.
-func (g *Gateway) leaveWithin() time.Duration { return g.cfg.Bounds.ApplyWithin - applyMargin }
+func (g *Gateway) leavingGrace() time.Duration { return g.cfg.Bounds.ApplyWithin - applyMargin }
--- a/internal/gateway/sync.go
+++ b/internal/gateway/sync.go
@@ -47,10 +47,10 @@
 		return 0, err
 	}
 	answer := reply.GetSynced()
-	g.hearListedVMs(answer.GetListedVms())
-	g.hearSpared(answer.GetSparedMillis())
-	g.hearLoads(answer.GetLoads())
-	g.hearSignals(request.from.VM, answer.GetSignals())
+	g.recordListedVMs(answer.GetListedVms())
+	g.applyEjections(answer.GetSparedMillis())
+	g.applyLoads(answer.GetLoads())
+	g.applySignals(request.from.VM, answer.GetSignals())
 	if request.hold > 0 {
 		g.loadsMark.set(request.from.VM, answer.GetLoadsMark())
 	}
@@ -72,12 +72,12 @@
 func (g *Gateway) syncMessage(request syncRequest) *peerpb.Sync {
 	message := &peerpb.Sync{
 		Since: g.replicaRevisions(), HoldMillis: uint32(request.hold.Milliseconds()), TakesListed: true, TakesPacked: true, Depth: uint32(request.depth),
-		Signals: g.toldSignals(),
+		Signals: g.outgoingSignals(),
 	}
 	if request.hold > 0 {
-		message.Outcomes = toOutcomes(g.takeOutcomes())
+		message.Outcomes = toOutcomes(g.drainOutcomes())
 		message.Loads = toLoads(g.loads.DrainReports())
-		message.LoadsMark = g.loadsMark.of(request.from.VM)
+		message.LoadsMark = g.loadsMark.forVM(request.from.VM)
 		message.Balance = toBalance(g.balancer.table, g.balancer.meter.Drain())
 	}
 	return message
@@ -132,9 +132,9 @@
 	if request.GetHoldMillis() > 0 && request.GetDepth() <= 1 {
 		g.watchers.recordRequest(clock.Now())
 	}
-	g.hearOutcomes(request.GetOutcomes())
-	g.passOnLoads(request.GetLoads())
-	g.hearSignals(peerThatAsks, request.GetSignals())
+	g.applyOutcomes(request.GetOutcomes())
+	g.applyAndForwardLoads(request.GetLoads())
+	g.applySignals(unnamedPeer, request.GetSignals())
 	if b := request.GetBalance(); b.GetRegion() == g.region() {
 		g.balancer.meter.Merge(fromBalance(b))
 	}
@@ -196,7 +196,7 @@
 // addRegionState adds to a reply the state that the VMs of a region share besides the
 // store's objects. The caller calls onSent once the reply has been sent.
 func (g *Gateway) addRegionState(reply *peerpb.Synced, request *peerpb.Sync) (onSent func()) {
-	reply.SparedMillis, reply.Signals = g.sparedMillis(), g.toldSignals()
+	reply.SparedMillis, reply.Signals = g.ejectedMillis(), g.outgoingSignals()
 	if request.GetHoldMillis() > 0 {
 		reply.Loads, reply.LoadsMark = g.loadsAfter(request.GetLoadsMark())
 	}
--- a/internal/gateway/unused.go
+++ b/internal/gateway/unused.go
@@ -64,23 +64,23 @@
 	if u.known(kind, o) {
 		return
 	}
-	u.note(kind, o, cause)
+	u.record(kind, o, cause)
 	if u.limiter.Allow() {
 		u.log.Info("store: entry not used", "kind", kind, "name", truncateText(o.Name), "revision", o.Revision, "reason", truncateText(cause.Error()))
 	}
 }
 
-// note records a revision of an unused entry.
-func (u *unused) note(kind string, o object.Object, cause error) {
+// record records a revision of an unused entry.
+func (u *unused) record(kind string, o object.Object, cause error) {
 	u.mu.Lock()
 	u.entries[unusedKey{kind, o.Name}] = unusedEntry{revision: o.Revision, reason: truncateText(cause.Error())}
 	u.mu.Unlock()
 	u.metrics.Unused(kind, string(object.ReasonOf(cause)))
 }
 
-// keep drops the recorded entries of a kind whose revision is not among the given
+// retain drops the recorded entries of a kind whose revision is not among the given
 // objects.
-func (u *unused) keep(kind string, objects []object.Object) {
+func (u *unused) retain(kind string, objects []object.Object) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	if len(u.entries) == 0 {
@@ -97,8 +97,8 @@
 	}
 }
 
-// shown returns the entries for operators, sorted by kind and name.
-func (u *unused) shown() []operator.UnusedEntry {
+// list returns the entries for operators, sorted by kind and name.
+func (u *unused) list() []operator.UnusedEntry {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	listed := make([]operator.UnusedEntry, 0, len(u.entries))
--- a/internal/gateway/watchers.go
+++ b/internal/gateway/watchers.go
@@ -188,7 +188,7 @@
 	if parent.ID != g.cfg.VM {
 		return g.syncFrom(ctx, syncRequest{from: peer.Target{VM: parent.ID, Address: parent.Peer}, hold: parent.hold(), depth: parent.depth})
 	}
-	g.takeOutcomes()
+	g.drainOutcomes()
 	sleep(ctx, selfParentInterval)
 	return g.maxReplicaAge(), nil
 }
