--- a/internal/gateway/balance_test.go
+++ b/internal/gateway/balance_test.go
@@ -8,41 +8,40 @@
 	"time"
 )
 
-// All VMs follow the table that one of them decides, and when that one is gone
-// another goes on from the table as it was.
+// Guards against losing the holder table when the VM that decides it stops.
 func TestVMsFollowOneTable(t *testing.T) {
 	f, vms := threeVMs(t)
-	f.until("all have a table of one epoch", func() bool { return oneEpoch(vms) != 0 })
-	epoch := oneEpoch(vms)
-	var decider *vm
+	f.waitFor("all VMs have a table of the same epoch", func() bool { return commonEpoch(vms) != 0 })
+	epoch := commonEpoch(vms)
+	var leader *vm
 	for _, v := range vms {
-		if v.Decides() {
-			decider = v
+		if v.OwnsTable() {
+			leader = v
 		}
 	}
-	if decider == nil {
-		t.Fatal("no VM decides")
+	if leader == nil {
+		t.Fatal("no VM owns the table")
 	}
-	decider.Move("s", "north", 17, "w1")
-	f.until("all know the holder", func() bool { return holds(vms, "w1") })
-	decider.stop()
-	var left []*vm
+	leader.SetHolder("s", "north", 17, "w1")
+	f.waitFor("all VMs know the holder", func() bool { return allHaveHolder(vms, "w1") })
+	leader.stop()
+	var remaining []*vm
 	for _, v := range vms {
-		if v != decider {
-			left = append(left, v)
+		if v != leader {
+			remaining = append(remaining, v)
 		}
 	}
-	f.until("another VM decides", func() bool {
-		now := oneEpoch(left)
-		return now != 0 && now != epoch
+	f.waitFor("another VM owns the table", func() bool {
+		newEpoch := commonEpoch(remaining)
+		return newEpoch != 0 && newEpoch != epoch
 	})
-	if !holds(left, "w1") {
-		t.Error("the holder is forgotten with the VM that decided it")
+	if !allHaveHolder(remaining, "w1") {
+		t.Error("the holder was lost when the VM that owned the table stopped")
 	}
 }
 
-// oneEpoch returns the epoch of the table that all VMs have, or 0.
-func oneEpoch(vms []*vm) uint64 {
+// commonEpoch returns the table epoch shared by all VMs, or 0 if they differ.
+func commonEpoch(vms []*vm) uint64 {
 	epoch := vms[0].TableEpoch()
 	for _, v := range vms {
 		if v.TableEpoch() != epoch {
@@ -52,7 +51,7 @@
 	return epoch
 }
 
-func holds(vms []*vm, worker string) bool {
+func allHaveHolder(vms []*vm, worker string) bool {
 	for _, v := range vms {
 		if v.Holder("s", "north", 17) != worker {
 			return false
@@ -61,19 +60,18 @@
 	return true
 }
 
-// A decision that was taken is known to all VMs within the time that the report
-// of a region and two questions take.
-func TestTableSpreadsSoon(t *testing.T) {
+// Guards against slow propagation of a table change to the other VMs.
+func TestTablePropagatesInTime(t *testing.T) {
 	f, vms := threeVMs(t)
-	f.until("all have a table of one epoch", func() bool { return oneEpoch(vms) != 0 })
+	f.waitFor("all VMs have a table of the same epoch", func() bool { return commonEpoch(vms) != 0 })
 	for _, v := range vms {
-		if v.Decides() {
-			v.Move("s", "north", 17, "w1")
+		if v.OwnsTable() {
+			v.SetHolder("s", "north", 17, "w1")
 		}
 	}
-	begun := time.Now()
-	f.until("all know the holder", func() bool { return holds(vms, "w1") })
-	if took := time.Since(begun); took > 2*time.Second {
-		t.Errorf("it took %v", took)
+	start := time.Now()
+	f.waitFor("all VMs know the holder", func() bool { return allHaveHolder(vms, "w1") })
+	if took := time.Since(start); took > 2*time.Second {
+		t.Errorf("the holder reached all VMs after %v, want 2 s at most", took)
 	}
 }
--- a/internal/gateway/balancewire_test.go
+++ b/internal/gateway/balancewire_test.go
@@ -12,28 +12,27 @@
 	"github.com/ryehill/ryehill/protocol/peerpb"
 )
 
-// Whatever a peer sends as a table or a report is read without harm, and names
-// only workers that it named.
-func FuzzBalanceFromPeers(f *testing.F) {
-	add := func(m proto.Message) {
+// Guards against peer messages that panic the decoder or name unlisted workers or other regions.
+func FuzzDecodeBalanceMessages(f *testing.F) {
+	addSeed := func(m proto.Message) {
 		raw, err := proto.Marshal(m)
 		if err != nil {
 			f.Fatal(err)
 		}
 		f.Add(raw)
 	}
-	add(&peerpb.Balanced{Epoch: 1, Full: true, At: 3, Workers: []string{"", "w1"}, Keys: []uint64{1, 2, 3}, Holders: []uint32{1, 7}})
-	add(&peerpb.Balance{Region: "north", Demands: []*peerpb.ServiceDemand{{Service: "s", Keys: []uint64{1, 2}, Requests: []uint32{4}}}})
+	addSeed(&peerpb.Balanced{Epoch: 1, Full: true, At: 3, Workers: []string{"", "w1"}, Keys: []uint64{1, 2, 3}, Holders: []uint32{1, 7}})
+	addSeed(&peerpb.Balance{Region: "north", Demands: []*peerpb.ServiceDemand{{Service: "s", Keys: []uint64{1, 2}, Requests: []uint32{4}}}})
 	f.Fuzz(func(t *testing.T, raw []byte) {
 		var table peerpb.Balanced
 		if proto.Unmarshal(raw, &table) == nil {
-			named := map[string]bool{}
+			listed := map[string]bool{}
 			for _, w := range table.GetWorkers() {
-				named[w] = true
+				listed[w] = true
 			}
 			for key, worker := range gateway.FromBalanced(&table).Holders {
-				if !named[worker] {
-					t.Errorf("key %d is held by %q, which was not named", key, worker)
+				if !listed[worker] {
+					t.Errorf("key %d is held by %q, which the message does not list", key, worker)
 				}
 			}
 		}
--- a/internal/gateway/compile_bench_test.go
+++ b/internal/gateway/compile_bench_test.go
@@ -10,10 +10,10 @@
 	"github.com/ryehill/ryehill/state/object"
 )
 
-// BenchmarkCompile takes in the change of one of 1,617 workers.
+// BenchmarkCompile measures recompiling the worker set after a change to one worker.
 func BenchmarkCompile(b *testing.B) {
 	d := workersDelta(1617)
-	compile := gateway.Compiler(codec{}, d)
+	compile := gateway.NewWorkerCompiler(codec{}, d)
 	at := d.At
 	for b.Loop() {
 		o := d.Events[int(at)%len(d.Events)].Object
--- a/internal/gateway/copies_test.go
+++ b/internal/gateway/copies_test.go
@@ -22,49 +22,48 @@
 	"github.com/ryehill/ryehill/transport/peer"
 )
 
-// answerOf returns an answer with a delta of one kind, and with its age.
-func answerOf(kind string, bytes int) *peerpb.Synced {
+// deltaAnswer returns an answer that holds a delta of one kind and the age of that kind.
+func deltaAnswer(kind string, bytes int) *peerpb.Synced {
 	return &peerpb.Synced{
 		Deltas:    []*peerpb.Delta{{Kind: kind, Events: []*peerpb.ObjectEvent{{Spec: make([]byte, bytes)}}}},
 		AgeMillis: map[string]uint32{kind: 1},
 	}
 }
 
-// Only two large parts are under way at a time, and an answer that lacks its part
-// confirms nothing.
+// Guards against more than two large deltas in flight, and against an age sent without its delta.
 func TestLargePartsOfAnswersAreBounded(t *testing.T) {
 	const small, large, tooLarge = 1 << 10, 100 << 10, 1 << 20
-	bound, _ := gateway.BoundCopies()
-	told := func(bytes int) (bool, func()) {
-		answer := answerOf(kindWorkers, bytes)
+	bound, _ := gateway.NewLargePartLimits()
+	limitAnswer := func(bytes int) (bool, func()) {
+		answer := deltaAnswer(kindWorkers, bytes)
 		sent := bound(answer)
-		_, aged := answer.GetAgeMillis()[kindWorkers]
-		if aged != (len(answer.GetDeltas()) == 1) {
-			t.Errorf("%d deltas, and age told: %t", len(answer.GetDeltas()), aged)
+		_, hasAge := answer.GetAgeMillis()[kindWorkers]
+		if hasAge != (len(answer.GetDeltas()) == 1) {
+			t.Errorf("%d deltas, age sent: %t", len(answer.GetDeltas()), hasAge)
 		}
-		return aged, sent
+		return hasAge, sent
 	}
-	if ok, _ := told(tooLarge); ok {
-		t.Error("told a part that is too large for any answer")
+	if ok, _ := limitAnswer(tooLarge); ok {
+		t.Error("sent a delta that is too large for any answer")
 	}
-	first, sent := told(large)
-	second, _ := told(large)
-	third, _ := told(large)
+	first, sent := limitAnswer(large)
+	second, _ := limitAnswer(large)
+	third, _ := limitAnswer(large)
 	if !first || !second || third {
-		t.Errorf("large parts told: %t, %t, %t, want the first two", first, second, third)
+		t.Errorf("large deltas sent: %t, %t, %t, want the first two", first, second, third)
 	}
-	if ok, _ := told(small); !ok {
-		t.Error("a small part waits for large ones")
+	if ok, _ := limitAnswer(small); !ok {
+		t.Error("a small delta waits for large ones")
 	}
 	sent()
-	if ok, _ := told(large); !ok {
-		t.Error("an answer that has been sent still counts")
+	if ok, _ := limitAnswer(large); !ok {
+		t.Error("an answer that has been sent still holds a slot")
 	}
 }
 
-// The same bound holds for the table of holders.
+// Guards against more than two large holder tables in flight.
 func TestLargeTablesAreBounded(t *testing.T) {
-	_, bound := gateway.BoundCopies()
+	_, bound := gateway.NewLargePartLimits()
 	tables := 0
 	for range 3 {
 		answer := &peerpb.Synced{Balanced: &peerpb.Balanced{Keys: make([]uint64, 4096)}}
@@ -74,110 +73,108 @@
 		}
 	}
 	if tables != 2 {
-		t.Errorf("%d large tables under way, want 2", tables)
+		t.Errorf("%d large tables in flight, want 2", tables)
 	}
 }
 
-// A VM of an older version does not know listed deltas, and is told everything.
-func TestOlderVMsAreToldEverything(t *testing.T) {
+// Guards against sending listed deltas to VMs whose version doesn't support them.
+func TestOlderVMsGetFullDeltas(t *testing.T) {
 	f, vms := threeVMs(t)
-	f.worker("w2", "s", "north-a")
+	f.startWorker("w2", "s", "north-a")
 	for name, takes := range map[string]bool{"older": false, "newer": true} {
 		t.Run(name, func(t *testing.T) {
 			ask := &peerpb.Sync{Since: map[string]uint64{kindWorkers: 1}, TakesListed: takes}
-			if d, ok := vms[0].Lacks(ask, kindWorkers); !ok || d.Full == takes || d.Listed != takes {
-				t.Errorf("told %+v", d)
+			if d, ok := vms[0].DeltaFor(ask, kindWorkers); !ok || d.Full == takes || d.Listed != takes {
+				t.Errorf("sent %+v", d)
 			}
 		})
 	}
 }
 
-// A VM that a peer shows to lack an object reads the kind from the store.
+// Guards against a missing object, revealed by a peer's listing, not being read from the store.
 func TestDoubtedKindIsReadFromTheStore(t *testing.T) {
 	f, vms := threeVMs(t)
 	_, others := watcherOf(t, vms)
 	v := others[0]
-	before := v.door.count("list " + kindWorkers)
-	at := f.store.atRevision()
-	v.Hear(object.Delta{
+	before := v.storeClient.callCount("list " + kindWorkers)
+	at := f.store.currentRevision()
+	v.MergeDelta(object.Delta{
 		Kind: kindWorkers, Listed: true, At: at + 1, Events: []object.Event{},
 		Listing: []object.Ref{{Name: "never-heard-of", Revision: at}},
 	})
-	f.within(time.Second, "the list", func() bool { return v.door.count("list "+kindWorkers) > before })
+	f.waitWithin(time.Second, "listing the workers", func() bool { return v.storeClient.callCount("list "+kindWorkers) > before })
 }
 
-// Peers that wait for a large part are told as soon as a place is free, not only
-// when their question has been held for long enough.
+// Guards against peers waiting out their hold time although a large-delta slot is free.
 func TestLargePartsFollowEachOther(t *testing.T) {
 	f := newFleet(t)
-	const workers, entry, askers = 400, 300, 24 // 120 KB and more.
+	const workers, entryBytes, askers = 400, 300, 24 // 120 KB and more.
 	for i := range workers {
-		f.store.put(kindWorkers, fmt.Sprintf("w%d", i), worker.Worker{Service: "s", Hall: "north-a", Slots: 4, Address: strings.Repeat("1", entry)})
+		f.store.put(kindWorkers, fmt.Sprintf("w%d", i), worker.Worker{Service: "s", Hall: "north-a", Slots: 4, Address: strings.Repeat("1", entryBytes)})
 	}
-	v := f.start("a", "north-a", nil)
-	f.until("it serves", v.ready)
-	// The askers lack nothing but the workers.
+	v := f.startVM("a", "north-a", nil)
+	f.waitFor("the VM is ready", v.ready)
+	// The requests lack only the workers.
 	others := make(map[string]uint64)
 	for _, kind := range []string{kindConfig, kindClosed, kindMembers, kindTraffic} {
-		others[kind] = f.store.atRevision() + 1
+		others[kind] = f.store.currentRevision() + 1
 	}
-	var told atomic.Int64
-	var asking sync.WaitGroup
-	begun := time.Now()
+	var complete atomic.Int64
+	var requests sync.WaitGroup
+	start := time.Now()
 	for range askers {
-		asking.Go(func() {
-			for time.Since(begun) < patience {
-				answer, sent := v.TellSlowly(context.Background(), &peerpb.Sync{HoldMillis: 350, Since: others})
-				whole := slices.ContainsFunc(answer.GetDeltas(), func(d *peerpb.Delta) bool { return d.GetKind() == kindWorkers })
+		requests.Go(func() {
+			for time.Since(start) < waitTimeout {
+				answer, sent := v.BeginSyncAnswer(context.Background(), &peerpb.Sync{HoldMillis: 350, Since: others})
+				hasWorkers := slices.ContainsFunc(answer.GetDeltas(), func(d *peerpb.Delta) bool { return d.GetKind() == kindWorkers })
 				time.Sleep(10 * time.Millisecond)
 				sent()
-				if whole {
-					told.Add(1)
+				if hasWorkers {
+					complete.Add(1)
 					return
 				}
 			}
 		})
 	}
-	asking.Wait()
-	if took := time.Since(begun); told.Load() != askers || took > time.Second {
-		t.Errorf("%d of %d told after %s, want all within a second", told.Load(), askers, took)
+	requests.Wait()
+	if took := time.Since(start); complete.Load() != askers || took > time.Second {
+		t.Errorf("%d of %d got the workers after %s, want all within a second", complete.Load(), askers, took)
 	}
 }
 
-// Peers that ask for large answers and stop reading give their places back soon,
-// also if they have closed their streams: others wait for the places.
-func TestPeersThatDoNotReadHoldNoPlaceForLong(t *testing.T) {
+// Guards against peers that stop reading, or close their streams, keeping large-delta slots.
+func TestPeersThatDoNotReadReleaseSlots(t *testing.T) {
 	cases := map[string]func(*peer.Stream){
-		"they have given up": func(s *peer.Stream) { s.Close() },
-		"they are frozen":    func(*peer.Stream) {},
+		"streams closed": func(s *peer.Stream) { s.Close() },
+		"reads stopped":  func(*peer.Stream) {},
 	}
-	for name, end := range cases {
+	for name, abandon := range cases {
 		t.Run(name, func(t *testing.T) {
 			f := newFleet(t)
-			// Two parts of 0.4 MB are more than the 0.5 MB that are sent unread.
-			const workers, entry, other = 600, 600, 400 << 10
+			// Two deltas of 0.4 MB exceed the 0.5 MB that may be sent unread.
+			const workers, entryBytes, otherBytes = 600, 600, 400 << 10
 			for i := range workers {
-				f.store.put(kindWorkers, fmt.Sprintf("w%d", i), worker.Worker{Service: "s", Hall: "north-a", Slots: 4, Address: strings.Repeat("1", entry)})
+				f.store.put(kindWorkers, fmt.Sprintf("w%d", i), worker.Worker{Service: "s", Hall: "north-a", Slots: 4, Address: strings.Repeat("1", entryBytes)})
 			}
-			f.store.put(kindTraffic, "other", strings.Repeat("1", other))
-			v := f.start("a", "north-a", nil)
-			f.until("it serves", v.ready)
-			others := peer.New(peer.Config{
+			f.store.put(kindTraffic, "other", strings.Repeat("1", otherBytes))
+			v := f.startVM("a", "north-a", nil)
+			f.waitFor("the VM is ready", v.ready)
+			peers := peer.New(peer.Config{
 				Self:    peer.Identity{Fleet: "test", Hall: "north-a", VM: "slow", Start: 1},
 				Handler: func(context.Context, peer.Identity, *peer.Stream, *peerpb.Envelope) {}, Log: logr.Discard(),
 			})
-			defer others.Close()
+			defer peers.Close()
 			ask := &peerpb.Envelope{Kind: &peerpb.Envelope_Sync{Sync: &peerpb.Sync{}}}
 			for range 2 {
-				s, err := others.Open(context.Background(), peer.Target{VM: "a", Address: f.seeds[0]}, ask)
+				s, err := peers.Open(context.Background(), peer.Target{VM: "a", Address: f.seeds[0]}, ask)
 				if err != nil {
 					t.Fatal(err)
 				}
-				time.Sleep(500 * time.Millisecond) // The answer is under way.
-				end(s)
+				time.Sleep(500 * time.Millisecond) // Wait until the answer is in flight.
+				abandon(s)
 			}
-			f.within(2*time.Second, "another VM is told all workers", func() bool {
-				answer := v.Tell(context.Background(), &peerpb.Sync{})
+			f.waitWithin(2*time.Second, "another VM gets all workers", func() bool {
+				answer := v.AnswerSync(context.Background(), &peerpb.Sync{})
 				return slices.ContainsFunc(answer.GetDeltas(), func(d *peerpb.Delta) bool { return d.GetKind() == kindWorkers })
 			})
 		})
--- a/internal/gateway/crash_test.go
+++ b/internal/gateway/crash_test.go
@@ -14,49 +14,51 @@
 )
 
 const (
-	// poison is the path of a request that ends the process of each worker that begins
-	// to run it.
-	poison = "/poison"
-	// crashAfter is how long it runs until then, and downFor for how long the worker
-	// is down.
-	crashAfter = 20 * time.Millisecond
-	downFor    = 400 * time.Millisecond
-	// knownWithin is within what time after its third worker has ended all VMs know
-	// such a request: half of the time that VMs have to get in touch again (4 s).
-	knownWithin = 2 * time.Second
-	// mostAfter is how often it may reach a worker later than that, at all VMs
-	// together.
-	mostAfter = 3
+	// poisonPath is the path of a request that crashes every worker that runs it.
+	poisonPath = "/poison"
+	// crashAfter is the time from the start of a poison request to the crash, and
+	// defaultDowntime the time until the worker listens again.
+	crashAfter      = 20 * time.Millisecond
+	defaultDowntime = 400 * time.Millisecond
+	// quarantineWithin is the time after the third crash within which all VMs must
+	// quarantine the request.
+	quarantineWithin = 2 * time.Second
+	// maxPoisonRuns is how often the request may reach workers of all VMs after that. It
+	// is also the number of crashes that lead to the quarantine.
+	maxPoisonRuns = 3
 )
 
-// crashWorkers are workers that a request can end. They start again at their address.
+// crashWorkers is a set of workers that a poison request crashes and that restart at the
+// same address.
 type crashWorkers struct {
 	mu sync.Mutex
-	// ends are the moments at which one ended.
-	ends []time.Time
-	// runs are the moments at which the poison request reached one.
-	runs []time.Time
-	// servers are the processes that run now, and served when each served a request.
+	// crashes holds the times at which workers crashed.
+	crashes []time.Time
+	// poisonRuns holds the times at which poison requests reached workers.
+	poisonRuns []time.Time
+	// servers holds the running server of each worker, and served the times of the other
+	// requests that it served, both by worker id.
 	servers map[string]*http.Server
 	served  map[string][]time.Time
-	// closed is set once the test is over.
-	closed bool
-	open   sync.WaitGroup
-	// down is for how long a worker that has ended is down, 0 for downFor.
-	down time.Duration
+	// closed is set at the end of the test and stops the restarts.
+	closed  bool
+	running sync.WaitGroup
+	// downtime overrides defaultDowntime if it is above 0.
+	downtime time.Duration
 }
 
-// endOne ends a worker as the poison request does, and returns when it is back.
-func (m *crashWorkers) endOne(id string) time.Time {
+// crash stops a worker as a poison request does, waits for its downtime, and returns the
+// time.
+func (m *crashWorkers) crash(id string) time.Time {
 	m.mu.Lock()
 	s := m.servers[id]
 	m.mu.Unlock()
 	_ = s.Close()
-	time.Sleep(m.isDown())
+	time.Sleep(m.downDuration())
 	return time.Now()
 }
 
-// servedBy returns when a worker served requests between two moments.
+// servedBy returns the times between from and to at which a worker served requests.
 func (m *crashWorkers) servedBy(id string, from, to time.Time) []time.Time {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -69,15 +71,14 @@
 	return served
 }
 
-func (m *crashWorkers) isDown() time.Duration {
-	if m.down > 0 {
-		return m.down
+func (m *crashWorkers) downDuration() time.Duration {
+	if m.downtime > 0 {
+		return m.downtime
 	}
-	return downFor
+	return defaultDowntime
 }
 
-// start starts a worker of service s in a hall, and starts it again each time that it
-// ends.
+// start starts a worker of service s in a hall and restarts it after each crash.
 func (m *crashWorkers) start(f *fleet, id, hall string) {
 	l, err := net.Listen("tcp", newIP()+":8000")
 	if err != nil {
@@ -85,17 +86,17 @@
 	}
 	address := l.Addr().String()
 	f.store.put(kindWorkers, id, worker.Worker{Service: "s", Hall: hall, Slots: 4, Address: address})
-	m.open.Go(func() {
+	m.running.Go(func() {
 		for l != nil {
-			m.live(l, id)
-			time.Sleep(m.isDown())
-			l = m.again(address)
+			m.serveUntilCrash(l, id)
+			time.Sleep(m.downDuration())
+			l = m.relisten(address)
 		}
 	})
 }
 
-// again opens a worker's port again, nil once the test is over.
-func (m *crashWorkers) again(address string) net.Listener {
+// relisten listens on a worker's address again, or returns nil at the end of the test.
+func (m *crashWorkers) relisten(address string) net.Listener {
 	for {
 		m.mu.Lock()
 		closed := m.closed
@@ -106,16 +107,17 @@
 		if l, err := net.Listen("tcp", address); err == nil {
 			return l
 		}
-		time.Sleep(downFor / 10)
+		time.Sleep(defaultDowntime / 10)
 	}
 }
 
-// live serves until the poison request has run for a moment.
-func (m *crashWorkers) live(l net.Listener, id string) {
+// serveUntilCrash serves requests until a poison request or the end of the test closes
+// the server.
+func (m *crashWorkers) serveUntilCrash(l net.Listener, id string) {
 	var s *http.Server
 	var once sync.Once
 	s = &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		if r.URL.Path != poison {
+		if r.URL.Path != poisonPath {
 			m.mu.Lock()
 			m.served[id] = append(m.served[id], time.Now())
 			m.mu.Unlock()
@@ -124,12 +126,12 @@
 			return
 		}
 		m.mu.Lock()
-		m.runs = append(m.runs, time.Now())
+		m.poisonRuns = append(m.poisonRuns, time.Now())
 		m.mu.Unlock()
 		time.Sleep(crashAfter)
 		once.Do(func() {
 			m.mu.Lock()
-			m.ends = append(m.ends, time.Now())
+			m.crashes = append(m.crashes, time.Now())
 			m.mu.Unlock()
 			_ = s.Close()
 		})
@@ -149,7 +151,7 @@
 				_ = s.Close()
 				return
 			}
-			time.Sleep(downFor / 10)
+			time.Sleep(defaultDowntime / 10)
 		}
 	}()
 	_ = s.Serve(l)
@@ -159,25 +161,25 @@
 	m.mu.Lock()
 	m.closed = true
 	m.mu.Unlock()
-	m.open.Wait()
+	m.running.Wait()
 }
 
-// third returns when the third worker ended.
-func (m *crashWorkers) third() (time.Time, bool) {
+// thirdCrash returns the time of the third crash, and false if there were fewer.
+func (m *crashWorkers) thirdCrash() (time.Time, bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if len(m.ends) < mostAfter {
+	if len(m.crashes) < maxPoisonRuns {
 		return time.Time{}, false
 	}
-	return m.ends[mostAfter-1], true
+	return m.crashes[maxPoisonRuns-1], true
 }
 
-// after returns how often the poison request reached a worker after a moment.
-func (m *crashWorkers) after(at time.Time) int {
+// poisonRunsAfter returns how many poison requests reached workers after the given time.
+func (m *crashWorkers) poisonRunsAfter(at time.Time) int {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	n := 0
-	for _, run := range m.runs {
+	for _, run := range m.poisonRuns {
 		if run.After(at) {
 			n++
 		}
--- a/internal/gateway/deep_test.go
+++ b/internal/gateway/deep_test.go
@@ -16,36 +16,37 @@
 )
 
 const (
-	wideLink, narrowLink = 200, 20 // Mbit/s.
-	// wideVMs is how many VMs of a hall have wide links.
+	wideLinkMbps, narrowLinkMbps = 200, 20 // Mbit/s.
+	// wideVMs is how many VMs of each hall have wide links.
 	wideVMs = 2
-	// inHall is how many VMs a hall has: two halls have more than one answers.
-	inHall = 18
+	// vmsPerHall makes two halls exceed the number of VMs that one VM answers.
+	vmsPerHall = 18
 )
 
-// deepFleet has two halls of one region, together with more VMs than one answers.
+// deepFleet is a fleet of two halls in one region with more VMs than one VM answers, so
+// that updates are relayed over two levels.
 type deepFleet struct {
 	*fleet
 	vms []*vm
 }
 
-// startDeep starts a fleet with inHall VMs in each of two halls.
-func startDeep(t *testing.T, change func(*gateway.Config, *door)) deepFleet {
+// startDeepFleet starts a fleet with vmsPerHall VMs in each of two halls.
+func startDeepFleet(t *testing.T, change func(*gateway.Config, *storeClient)) deepFleet {
 	f := deepFleet{fleet: newFleet(t)}
-	f.worker("w1", "s", "north-a")
-	for i := range 2 * inHall {
+	f.startWorker("w1", "s", "north-a")
+	for i := range 2 * vmsPerHall {
 		hall, number := []string{"north-a", "north-b"}[i%2], i/2
-		f.vms = append(f.vms, f.start(fmt.Sprintf("%s-%d", hall, number), hall, func(cfg *gateway.Config, d *door) {
-			cfg.StaleAfter, cfg.LinkMbps = patientAge, narrowLink
+		f.vms = append(f.vms, f.startVM(fmt.Sprintf("%s-%d", hall, number), hall, func(cfg *gateway.Config, d *storeClient) {
+			cfg.StaleAfter, cfg.LinkMbps = longStaleAfter, narrowLinkMbps
 			if number < wideVMs {
-				cfg.LinkMbps = wideLink
+				cfg.LinkMbps = wideLinkMbps
 			}
 			if change != nil {
 				change(cfg, d)
 			}
 		}))
 	}
-	t.Cleanup(func() { // All stop at once, before each is waited for.
+	t.Cleanup(func() { // Stop all at once; each is waited for later.
 		for _, v := range f.vms {
 			v.stop()
 		}
@@ -53,47 +54,46 @@
 	return f
 }
 
-// settle waits until all VMs serve and have read the list of VMs as a whole.
-func (f deepFleet) settle() {
+// waitSettled waits until all VMs are ready and have read the whole list of VMs.
+func (f deepFleet) waitSettled() {
 	for _, v := range f.vms {
-		f.until(v.name+" serves", v.ready)
+		f.waitFor(v.name+" serves", v.ready)
 	}
 	time.Sleep(3 * time.Second)
 }
 
-// calls returns the calls that all VMs have made to the store.
-func (f deepFleet) calls() int {
+// storeCalls returns the number of calls that all VMs have made to the store.
+func (f deepFleet) storeCalls() int {
 	sum := 0
 	for _, v := range f.vms {
-		sum += v.door.countAll()
+		sum += v.storeClient.totalCalls()
 	}
 	return sum
 }
 
-// In a region with more VMs than one answers, one VM with a wide link watches the
-// store for all, changes are in force everywhere soon, and knowledge stays young.
+// Guards against several store watchers, a watcher with a narrow link, or stale VMs in a large region.
 func TestDeepTree(t *testing.T) {
-	f := startDeep(t, nil)
-	f.settle()
-	time.Sleep(3 * time.Second) // Those that were asked before go on for 2 s.
-	watching := make(map[string]int)
+	f := startDeepFleet(t, nil)
+	f.waitSettled()
+	time.Sleep(3 * time.Second) // VMs that watched before go on for 2 s.
+	watchesBefore := make(map[string]int)
 	for _, v := range f.vms {
-		watching[v.name] = v.door.count("watch " + kindConfig)
+		watchesBefore[v.name] = v.storeClient.callCount("watch " + kindConfig)
 	}
-	if age := oldest(3*time.Second, f.vms...); age >= patientAge {
-		t.Errorf("knowledge %s old", age)
+	if age := maxStateAge(3*time.Second, f.vms...); age >= longStaleAfter {
+		t.Errorf("state is %s old", age)
 	}
 	var watchers []string
 	for _, v := range f.vms {
-		if v.door.count("watch "+kindConfig) > watching[v.name] {
+		if v.storeClient.callCount("watch "+kindConfig) > watchesBefore[v.name] {
 			watchers = append(watchers, v.name)
 		}
 	}
 	if len(watchers) != 1 || !strings.HasSuffix(watchers[0], "-0") && !strings.HasSuffix(watchers[0], "-1") {
 		t.Errorf("%v watch the store, want one VM with a wide link", watchers)
 	}
-	f.config(2, "s")
-	f.within(1500*time.Millisecond, "a change is in force", func() bool {
+	f.putConfig(2, "s")
+	f.waitWithin(1500*time.Millisecond, "the change applies on all VMs", func() bool {
 		for _, v := range f.vms {
 			if v.Version() != 2 {
 				return false
@@ -103,10 +103,10 @@
 	})
 }
 
-// What a worker told one VM, and that one has ended, is known in the other hall.
-func TestWordsCrossADeepTree(t *testing.T) {
-	f := startDeep(t, nil)
-	f.settle()
+// Guards against a worker's reported load not reaching VMs of the other hall.
+func TestLoadsCrossDeepTree(t *testing.T) {
+	f := startDeepFleet(t, nil)
+	f.waitSettled()
 	const busy = 9
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		w.Header().Set("Id", r.Header.Get("Id"))
@@ -115,29 +115,27 @@
 	t.Cleanup(server.Close)
 	f.store.put(kindWorkers, "w2", worker.Worker{Service: "s", Hall: "north-a", Slots: 4, Address: strings.TrimPrefix(server.URL, "http://")})
 	f.store.remove(kindWorkers, "w1")
-	near, far := f.vms[len(f.vms)-2], f.vms[len(f.vms)-1]
-	f.until("all know it", func() bool { return near.Knows("w2") && far.Knows("w2") })
-	f.within(3*time.Second, "a worker's word is known in the other hall", func() bool {
-		near.ask("/")
-		return far.Busy("w2") > busy/2
+	nearVM, farVM := f.vms[len(f.vms)-2], f.vms[len(f.vms)-1]
+	f.waitFor("all VMs know the worker", func() bool { return nearVM.KnowsWorker("w2") && farVM.KnowsWorker("w2") })
+	f.waitWithin(3*time.Second, "the load is known in the other hall", func() bool {
+		nearVM.sendRequest("/")
+		return farVM.Busy("w2") > busy/2
 	})
 }
 
-// When the VM that tells a hall, or the one that watches the store, is gone, others
-// take over within a second or two, and the others of the region do not turn to the
-// store.
-func TestDeepTreeHeals(t *testing.T) {
-	f := startDeep(t, nil)
-	f.settle()
+// Guards against slow updates, or many VMs calling the store, after the VM that watches it stops.
+func TestDeepTreeRecovers(t *testing.T) {
+	f := startDeepFleet(t, nil)
+	f.waitSettled()
 	time.Sleep(time.Second)
 	for version := uint64(2); version < 4; version++ {
 		root := f.root()
-		before := f.calls()
+		before := f.storeCalls()
 		root.stop()
 		<-root.done
-		f.drop(root)
-		f.config(version, "s")
-		f.within(2500*time.Millisecond, "a change after the root has gone", func() bool {
+		f.removeVM(root)
+		f.putConfig(version, "s")
+		f.waitWithin(2500*time.Millisecond, "a change after the root stopped", func() bool {
 			for _, v := range f.vms {
 				if v.Version() != version {
 					return false
@@ -145,7 +143,7 @@
 			}
 			return true
 		})
-		if calls := f.calls() - before; calls > 60 {
+		if calls := f.storeCalls() - before; calls > 60 {
 			t.Errorf("%d calls to the store, want those of few VMs", calls)
 		}
 	}
@@ -155,24 +153,24 @@
 func (f *deepFleet) root() *vm {
 	before := make(map[string]int)
 	for _, v := range f.vms {
-		before[v.name] = v.door.count("watch " + kindConfig)
+		before[v.name] = v.storeClient.callCount("watch " + kindConfig)
 	}
-	time.Sleep(patientAge)
+	time.Sleep(longStaleAfter)
 	for _, v := range f.vms {
-		if v.door.count("watch "+kindConfig) > before[v.name] {
+		if v.storeClient.callCount("watch "+kindConfig) > before[v.name] {
 			return v
 		}
 	}
-	f.t.Fatal("nobody watches the store")
+	f.t.Fatal("no VM watches the store")
 	return nil
 }
 
-func (f *deepFleet) drop(gone *vm) {
-	var left []*vm
+func (f *deepFleet) removeVM(removed *vm) {
+	var remaining []*vm
 	for _, v := range f.vms {
-		if v != gone {
-			left = append(left, v)
+		if v != removed {
+			remaining = append(remaining, v)
 		}
 	}
-	f.vms = left
+	f.vms = remaining
 }
--- a/internal/gateway/export_test.go
+++ b/internal/gateway/export_test.go
@@ -21,14 +21,14 @@
 	"github.com/ryehill/ryehill/state/workspace"
 )
 
-// FromBalanced and FromBalance read what peers send, for tests.
+// FromBalanced and FromBalance decode messages of peers.
 var (
 	FromBalanced = fromBalanced
 	FromBalance  = fromBalance
 )
 
-// Lapsed is lapsed for a store that was last confirmed at a moment, and came back lapseGrace
-// before another one.
+// Lapsed calls lapsed with an absence of the store that was last confirmed at confirmed and
+// whose grace period ends at graceEnd.
 func Lapsed(before, listed map[string]*worker.Worker, now, confirmed, graceEnd time.Time, loads *worker.Loads) []*worker.Worker {
 	return lapsed(before, listed, now, &absence{returned: graceEnd.Add(-lapseGrace), confirmed: confirmed}, loads)
 }
@@ -36,63 +36,67 @@
 // TableEpoch returns the epoch of the table of holders.
 func (g *Gateway) TableEpoch() uint64 { return g.balancer.table.Epoch() }
 
-// Decides reports whether the table of holders is this VM's own.
-func (g *Gateway) Decides() bool {
+// OwnsTable reports whether this VM decided the current holder table.
+func (g *Gateway) OwnsTable() bool {
 	g.balancer.mu.Lock()
 	defer g.balancer.mu.Unlock()
 	return g.balancer.own != 0 && g.balancer.own == g.balancer.table.Epoch()
 }
 
-// Move names the holder of a key, as a decision does.
-func (g *Gateway) Move(service, region string, key uint64, worker string) {
+// SetHolder assigns a key to a worker in the holder table.
+func (g *Gateway) SetHolder(service, region string, key uint64, worker string) {
 	g.balancer.table.Apply(holders.Changes{holders.KeyOf(service, region, key): worker})
 }
 
-// Holder returns the worker that the table names for a key.
+// Holder returns the worker that holds a key in the table, or "" if there is none.
 func (g *Gateway) Holder(service, region string, key uint64) string {
 	id, _ := g.balancer.table.Holder(holders.KeyOf(service, region, key))
 	return id
 }
 
-// Busy returns how many requests this VM takes a worker to hold.
+// Busy returns this VM's estimate of the requests that a worker is running.
 func (g *Gateway) Busy(worker string) float64 { return g.loads.GetOrCreate(worker).Busy() }
 
-// Quarantined returns how many requests this VM knows to end workers.
-func (g *Gateway) Quarantined() int { return g.quarantines.table.Len() }
+// QuarantineCount returns the number of quarantined requests that this VM knows.
+func (g *Gateway) QuarantineCount() int { return g.quarantines.table.Len() }
 
-// Lives reports whether this VM believes in a life of a worker.
-func (g *Gateway) Lives(life string) bool {
+// KnowsIncarnation reports whether the snapshot in use has an incarnation of a worker.
+func (g *Gateway) KnowsIncarnation(incarnation string) bool {
 	s := g.snapshot.Load()
-	return s != nil && s.Workers.HasIncarnation(life)
+	return s != nil && s.Workers.HasIncarnation(incarnation)
 }
 
-// Leaves reports whether this VM knows a life of a worker to be leaving by anybody's word.
-func (g *Gateway) Leaves(life string) bool {
-	return !g.loads.SharedSignals()[life].Leaving.Until.IsZero()
+// IsLeaving reports whether the worker or a peer told this VM that an incarnation is
+// leaving.
+func (g *Gateway) IsLeaving(incarnation string) bool {
+	return !g.loads.SharedSignals()[incarnation].Leaving.Until.IsZero()
 }
 
-// SawEnd makes this VM see that a life of a worker ends its connections.
-func (g *Gateway) SawEnd(life string) { g.loads.GetOrCreate(life).RecordAllConnectionsClosed() }
+// RecordConnectionsClosed records that an incarnation of a worker closed all connections.
+func (g *Gateway) RecordConnectionsClosed(incarnation string) {
+	g.loads.GetOrCreate(incarnation).RecordAllConnectionsClosed()
+}
 
-// Cold reports whether this VM takes a worker as cold.
-func (g *Gateway) Cold(id string) bool {
+// IsCold reports whether this VM treats a worker as cold.
+func (g *Gateway) IsCold(id string) bool {
 	s := g.snapshot.Load()
 	w, ok := s.Workers.Get(id)
 	return ok && g.placer.IsCold(s, w)
 }
 
-// Distrust makes this VM believe the worst of a life of a worker.
-func (g *Gateway) Distrust(life string) {
-	l := g.loads.GetOrCreate(life)
+// MarkFailing records a running request, a failure, a refused connection and an ejection
+// of an incarnation.
+func (g *Gateway) MarkFailing(incarnation string) {
+	l := g.loads.GetOrCreate(incarnation)
 	l.Begin()
 	l.RecordFailure()
 	l.RecordConnectionRefused()
 	l.Eject(time.Minute)
 }
 
-// Distrusts reports whether this VM holds anything against a life of a worker.
-func (g *Gateway) Distrusts(life string) bool {
-	l := g.loads.GetOrCreate(life)
+// IsPenalized reports whether an incarnation is paused, ejected or possibly cold.
+func (g *Gateway) IsPenalized(incarnation string) bool {
+	l := g.loads.GetOrCreate(incarnation)
 	return l.Paused() || l.Ejected() || l.MayBeCold(clock.Now(), 0)
 }
 
@@ -105,36 +109,35 @@
 	return s.Routes.Version()
 }
 
-// BoundCopies returns what bounds the large parts of a VM's answers: deltas, and
-// tables.
-func BoundCopies() (deltas, tables func(*peerpb.Synced) (sent func())) {
+// NewLargePartLimits returns the functions that limit the large deltas and large tables
+// in a VM's answers.
+func NewLargePartLimits() (deltas, tables func(*peerpb.Synced) (sent func())) {
 	c := newCopies()
 	return c.bound, c.boundTable
 }
 
-// Lacks returns what this VM tells one that asks of a kind.
-func (g *Gateway) Lacks(ask *peerpb.Sync, kind string) (object.Delta, bool) {
+// DeltaFor returns the delta of one kind that a sync request lacks.
+func (g *Gateway) DeltaFor(ask *peerpb.Sync, kind string) (object.Delta, bool) {
 	return g.lacks(ask, kind)
 }
 
-// Hear takes in what a peer tells of one kind.
-func (g *Gateway) Hear(d object.Delta) { g.mergeDelta("peer", d) }
+// MergeDelta merges a delta received from a peer.
+func (g *Gateway) MergeDelta(d object.Delta) { g.mergeDelta("peer", d) }
 
-// TellSlowly answers a VM that asks for news, and leaves it to the test when the
-// answer has been sent.
-func (g *Gateway) TellSlowly(ctx context.Context, ask *peerpb.Sync) (answer *peerpb.Synced, sent func()) {
+// BeginSyncAnswer answers a sync request. The caller calls sent once the answer is sent.
+func (g *Gateway) BeginSyncAnswer(ctx context.Context, ask *peerpb.Sync) (answer *peerpb.Synced, sent func()) {
 	return g.tell(ctx, ask)
 }
 
-// Tell answers a VM that asks for news.
-func (g *Gateway) Tell(ctx context.Context, ask *peerpb.Sync) *peerpb.Synced {
+// AnswerSync answers a sync request and marks the answer as sent.
+func (g *Gateway) AnswerSync(ctx context.Context, ask *peerpb.Sync) *peerpb.Synced {
 	answer, sent := g.tell(ctx, ask)
 	sent()
 	return answer
 }
 
-// Knows reports whether this VM believes that there is a worker.
-func (g *Gateway) Knows(worker string) bool {
+// KnowsWorker reports whether the snapshot in use has a worker.
+func (g *Gateway) KnowsWorker(worker string) bool {
 	s := g.snapshot.Load()
 	if s == nil {
 		return false
@@ -143,21 +146,21 @@
 	return ok
 }
 
-// Age returns how old the oldest knowledge is that requests rest on.
-func (g *Gateway) Age() time.Duration { return g.age() }
+// StateAge returns the age of the oldest state that routing depends on.
+func (g *Gateway) StateAge() time.Duration { return g.age() }
 
-// Unpack reads a packed delta; Packed and Unpacked return a delta as it is sent.
+// Unpack decompresses a packed delta.
 var Unpack = unpack
 
-// Packed returns what a delta is packed to for a VM that understands that.
-func Packed(d object.Delta) []byte { return newPacks().delta(d, true).GetPacked() }
+// PackDelta returns the packed form of a delta.
+func PackDelta(d object.Delta) []byte { return newPacks().delta(d, true).GetPacked() }
 
-// Unpacked returns a delta as it is sent to any VM.
-func Unpacked(d object.Delta) *peerpb.Delta { return toDelta(d) }
+// PlainDelta returns the unpacked wire form of a delta.
+func PlainDelta(d object.Delta) *peerpb.Delta { return toDelta(d) }
 
-// Compiler returns a function that takes in a change of workers, of which some are
-// known, and makes a snapshot as a VM does.
-func Compiler(codec Codec, known object.Delta) func(change object.Delta) *worker.Set {
+// NewWorkerCompiler returns a function that merges a change into the known workers and
+// compiles the worker set.
+func NewWorkerCompiler(codec Codec, known object.Delta) func(change object.Delta) *worker.Set {
 	known.Full = true
 	g := &Gateway{
 		cfg: Config{Codec: codec, Log: logr.Discard(), Halls: map[string]string{"north-b": "north"}},
@@ -170,93 +173,94 @@
 	}
 }
 
-// KeyQuestions is keyQuestions, for tests.
+// KeyQuestions exports keyQuestions.
 type KeyQuestions struct{ *keyQuestions }
 
-// NewKeyQuestions returns questions that nobody has asked yet.
+// NewKeyQuestions returns an empty KeyQuestions.
 func NewKeyQuestions() KeyQuestions { return KeyQuestions{newKeyQuestions()} }
 
-// Asks reports whether a request with an unknown key makes the VM ask another one.
-func (k KeyQuestions) Asks(key workspace.Digest, now time.Time) bool {
+// Allows reports whether a request with an unknown key makes the VM query a peer.
+func (k KeyQuestions) Allows(key workspace.Digest, now time.Time) bool {
 	_, ask := k.begin(key, now)
 	return ask
 }
 
-// Lenders returns how many VMs lend this one their parts of quotas.
-func (g *Gateway) Lenders() int { return g.quotas.pool.LenderCount() }
+// QuotaLenderCount returns how many VMs lend their quota shares to this one.
+func (g *Gateway) QuotaLenderCount() int { return g.quotas.pool.LenderCount() }
 
-// ListedVMs is listedVMs, for tests.
-func (g *Gateway) ListedVMs() int { return g.listedVMs() }
+// ListedVMCount returns the number of VMs that quotas are divided among.
+func (g *Gateway) ListedVMCount() int { return g.listedVMs() }
 
-// Confirmed returns when the store last confirmed what is known of a kind.
+// Confirmed returns when the store last confirmed the state of a kind.
 func (g *Gateway) Confirmed(kind string) time.Time { return g.replica.Confirmed(kind) }
 
-// HearListedVMs is hearListedVMs, for tests.
-func (g *Gateway) HearListedVMs(n uint32) { g.hearListedVMs(n) }
+// MergeListedVMCount merges a peer's count of listed VMs.
+func (g *Gateway) MergeListedVMCount(n uint32) { g.hearListedVMs(n) }
 
-// Controls reports whether this VM steps moves and roll-outs.
-func (g *Gateway) Controls() bool { return g.controls() }
+// IsController reports whether this VM advances moves and roll-outs.
+func (g *Gateway) IsController() bool { return g.controls() }
 
-// Peers returns how many VMs this one takes to be live, itself included.
-func (g *Gateway) Peers() int { return len(g.live()) }
+// LiveVMCount returns how many VMs this VM considers live, itself included.
+func (g *Gateway) LiveVMCount() int { return len(g.live()) }
 
-// Divided returns how many workers of the version in use and of one that is being brought in
-// a VM uses that knows of one order, or of none if its version is 0.
-func Divided(workers []*worker.Worker, service string, version rollout.Version, phase rollout.Phase) (stable, brought int) {
+// CountVersionsInUse returns how many workers of the stable version and of the candidate
+// version a VM uses under one rollout order, or under none if version is 0.
+func CountVersionsInUse(workers []*worker.Worker, service string, version rollout.Version, phase rollout.Phase) (stable, candidates int) {
 	orders := make(known)
 	if version > 0 {
 		orders[service] = knownOrder{version: version, phase: phase}
 	}
-	return counted(make(versions).divide(workers, orders))
+	return countTracks(make(versions).divide(workers, orders))
 }
 
-func counted(used []*worker.Worker) (stable, brought int) {
+func countTracks(used []*worker.Worker) (stable, candidates int) {
 	for _, w := range used {
 		if w.New {
-			brought++
+			candidates++
 		} else {
 			stable++
 		}
 	}
-	return stable, brought
+	return stable, candidates
 }
 
-// Versions is versions, for tests.
+// Versions exports versions.
 type Versions struct{ versions }
 
-// NewVersions returns versions of which nothing is known.
+// NewVersions returns an empty Versions.
 func NewVersions() Versions { return Versions{make(versions)} }
 
-// Stable returns how many workers of the version in use there are, without any order.
-func (v Versions) Stable(workers []*worker.Worker) int {
-	stable, _ := counted(v.divide(workers, nil))
+// StableCount returns how many workers of the stable version are used without an order.
+func (v Versions) StableCount(workers []*worker.Worker) int {
+	stable, _ := countTracks(v.divide(workers, nil))
 	return stable
 }
 
-// HeldBack returns a function that looks for workers that leave or rest among some of which
-// one leaves, and returns how many it found.
-func HeldBack(workers []worker.Worker) func() int {
+// HeldBackCounter returns a function that counts the workers that are leaving or resting.
+func HeldBackCounter(workers []worker.Worker) func() int {
 	g := &Gateway{loads: worker.NewLoads(clock.Now)}
 	set := worker.NewSet(workers)
 	g.snapshot.Store(&placement.Snapshot{Workers: set})
 	return func() int { return len(g.heldBack()) }
 }
 
-// PauseAfter is pauseAfter, for tests.
+// PauseAfter exports pauseAfter.
 var PauseAfter = pauseAfter
 
-// Gather returns how long a watcher waits after news, where a change must be in force
-// within a time.
-func Gather(within time.Duration) time.Duration {
+// BatchDelay returns how long a watcher batches updates if a change must apply within the
+// given time.
+func BatchDelay(within time.Duration) time.Duration {
 	g := &Gateway{cfg: Config{Bounds: Bounds{ApplyWithin: within}}}
 	return g.gather()
 }
 
-// TellsLeaving returns the VMs that one of a hall tells that it leaves.
-func TellsLeaving(members []membership.Member, hall string, regions map[string]string) []membership.Member {
+// LeavingRecipients returns the VMs that a VM of a hall notifies when it leaves.
+func LeavingRecipients(members []membership.Member, hall string, regions map[string]string) []membership.Member {
 	return nearest(members, hall, regions, leavingTold)
 }
 
-// Issues returns how many requests to a life of a worker this VM hands out if it is asked
-// for more than there are.
-func (g *Gateway) Issues(life string) int { return g.permits.issueLife(life, 0, 100).Requests }
+// IssuePermits returns how many permits for an incarnation this VM issues when asked for
+// more than there are.
+func (g *Gateway) IssuePermits(incarnation string) int {
+	return g.permits.issueLife(incarnation, 0, 100).Requests
+}
--- a/internal/gateway/fake_test.go
+++ b/internal/gateway/fake_test.go
@@ -26,7 +26,7 @@
 	"github.com/ryehill/ryehill/transport/upstream"
 )
 
-// Kinds of the fake store.
+// Kinds of objects in memoryStore.
 const (
 	kindConfig  = "config"
 	kindWorkers = "workers"
@@ -39,22 +39,22 @@
 	kindRollouts   = "rollouts"
 )
 
-// storePage is how many objects the fake store lists at a time.
-const storePage = 50
+// storePageSize is the number of objects per page of the fake store.
+const storePageSize = 50
 
-var errAway = errors.New("the store is away")
+var errStoreUnavailable = errors.New("the store is away")
 
-// memoryStore is a store in memory. Each VM has a door of its own to it, that
-// can be shut.
+// memoryStore is an in-memory store. Each VM accesses it through its own storeClient.
 type memoryStore struct {
 	mu       sync.Mutex
 	revision uint64
 	kinds    map[string]map[string]object.Object
 	log      map[string][]object.Event
-	// forgotten is the revision up to which the history is dropped.
-	forgotten uint64
-	deaf      bool
-	changed   chan struct{}
+	// compactedAt is the revision up to which the event history has been dropped. While
+	// muted is set, changes don't notify watches.
+	compactedAt uint64
+	muted       bool
+	changed     chan struct{}
 }
 
 func newMemoryStore() *memoryStore {
@@ -75,46 +75,46 @@
 	}
 	s.kinds[kind][name] = o
 	s.log[kind] = append(s.log[kind], object.Event{Object: o})
-	s.wake()
+	s.notifyWatches()
 }
 
-// wake lets the watches look again, unless they are to hear nothing.
-func (s *memoryStore) wake() {
-	if s.deaf {
+// notifyWatches wakes pending watches unless the store is muted. The caller holds mu.
+func (s *memoryStore) notifyWatches() {
+	if s.muted {
 		return
 	}
 	close(s.changed)
 	s.changed = make(chan struct{})
 }
 
-// dropHistory makes changes of which no watch hears, and then forgets them.
+// dropHistory makes changes without notifying watches and then drops the event history.
 func (s *memoryStore) dropHistory(changes func()) {
 	s.mu.Lock()
-	s.deaf = true
+	s.muted = true
 	s.mu.Unlock()
 	changes()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.deaf, s.forgotten = false, s.revision
+	s.muted, s.compactedAt = false, s.revision
 	clear(s.log)
-	s.wake()
+	s.notifyWatches()
 }
 
-// atRevision returns the revision of the last change.
-func (s *memoryStore) atRevision() uint64 {
+// currentRevision returns the revision of the last change.
+func (s *memoryStore) currentRevision() uint64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.revision
 }
 
-// get returns an object as it is.
+// get returns a stored object, or a zero Object if there is none.
 func (s *memoryStore) get(kind, name string) object.Object {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.kinds[kind][name]
 }
 
-// putRaw writes an object anew with the content that it had.
+// putRaw writes an object's spec again under a new revision.
 func (s *memoryStore) putRaw(kind string, o object.Object) {
 	s.put(kind, o.Name, json.RawMessage(o.Spec))
 }
@@ -125,43 +125,44 @@
 	s.revision++
 	delete(s.kinds[kind], name)
 	s.log[kind] = append(s.log[kind], object.Event{Object: object.Object{Name: name, Revision: s.revision}, Gone: true})
-	s.wake()
+	s.notifyWatches()
 }
 
-// door is one VM's way to the store.
-type door struct {
+// storeClient is one VM's access to the store, with injected failures.
+type storeClient struct {
 	store *memoryStore
-	link  *link // Calls wait for it; nil is none.
+	link  *link // Delays calls, if not nil.
 
-	mu     sync.Mutex
-	shut   bool
-	silent bool
-	calls  map[string]int
-	// lose breaks off so many answers to Replace, before or after the write.
-	lose   int
-	before bool
+	mu          sync.Mutex
+	unavailable bool
+	hanging     bool
+	calls       map[string]int
+	// repliesToLose is how many more replies to Replace are lost, before the write if
+	// loseBeforeWrite is set, else after it.
+	repliesToLose   int
+	loseBeforeWrite bool
 }
 
-// loseWrites loses the answers to the next writes under a condition.
-func (d *door) loseWrites(n int, before bool) {
+// loseWriteReplies makes the next n calls of Replace fail before or after their write.
+func (d *storeClient) loseWriteReplies(n int, before bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.lose, d.before = n, before
+	d.repliesToLose, d.loseBeforeWrite = n, before
 }
 
-// loses reports whether this answer is lost, and whether before the write.
-func (d *door) loses() (lost, before bool) {
+// takeLostReply reports whether this reply is lost, and whether before the write.
+func (d *storeClient) takeLostReply() (lost, before bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if d.lose == 0 {
+	if d.repliesToLose == 0 {
 		return false, false
 	}
-	d.lose--
-	return true, d.before
+	d.repliesToLose--
+	return true, d.loseBeforeWrite
 }
 
-func (d *door) Get(ctx context.Context, kind, name string) (object.Object, error) {
-	if err := d.pass(ctx, "get "+kind, time.Second); err != nil {
+func (d *storeClient) Get(ctx context.Context, kind, name string) (object.Object, error) {
+	if err := d.beginCall(ctx, "get "+kind, time.Second); err != nil {
 		return object.Object{}, err
 	}
 	d.store.mu.Lock()
@@ -173,82 +174,83 @@
 	return o, nil
 }
 
-func (d *door) Replace(ctx context.Context, kind, name string, revision uint64, raw []byte) (uint64, error) {
-	if err := d.pass(ctx, "replace "+kind, time.Second); err != nil {
+func (d *storeClient) Replace(ctx context.Context, kind, name string, revision uint64, raw []byte) (uint64, error) {
+	if err := d.beginCall(ctx, "replace "+kind, time.Second); err != nil {
 		return 0, err
 	}
-	lost, before := d.loses()
+	lost, before := d.takeLostReply()
 	if lost && before {
-		return 0, errAway
+		return 0, errStoreUnavailable
 	}
 	d.store.mu.Lock()
-	held := d.store.kinds[kind][name].Revision
+	current := d.store.kinds[kind][name].Revision
 	d.store.mu.Unlock()
-	if held != revision {
+	if current != revision {
 		return 0, gateway.ErrConflict
 	}
 	d.store.put(kind, name, json.RawMessage(raw))
 	if lost {
-		return 0, errAway
+		return 0, errStoreUnavailable
 	}
 	return d.store.get(kind, name).Revision, nil
 }
 
-// ReplaceStatus writes the whole order: here it holds its own status.
-func (d *door) ReplaceStatus(ctx context.Context, kind, name string, revision uint64, status []byte) (uint64, error) {
+// ReplaceStatus replaces the whole object, which holds its own status.
+func (d *storeClient) ReplaceStatus(ctx context.Context, kind, name string, revision uint64, status []byte) (uint64, error) {
 	return d.Replace(ctx, kind, name, revision, status)
 }
 
-func (d *door) Delete(ctx context.Context, kind, name string) error {
-	if err := d.pass(ctx, "delete "+kind, time.Second); err != nil {
+func (d *storeClient) Delete(ctx context.Context, kind, name string) error {
+	if err := d.beginCall(ctx, "delete "+kind, time.Second); err != nil {
 		return err
 	}
 	d.store.remove(kind, name)
 	return nil
 }
 
-func (d *door) set(shut, silent bool) {
+func (d *storeClient) setFailure(unavailable, hanging bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.shut, d.silent = shut, silent
+	d.unavailable, d.hanging = unavailable, hanging
 }
 
-func (d *door) count(call string) int {
+func (d *storeClient) callCount(call string) int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.calls[call]
 }
 
-// pass counts a call. A silent door lets none back before its time is over.
-func (d *door) pass(ctx context.Context, call string, patience time.Duration) error {
+// beginCall counts a call and applies the injected failures and the link's delay. A call on
+// a hanging client fails only at the timeout or when ctx ends.
+func (d *storeClient) beginCall(ctx context.Context, call string, timeout time.Duration) error {
 	d.mu.Lock()
 	d.calls[call]++
-	shut, silent := d.shut, d.silent
+	unavailable, hanging := d.unavailable, d.hanging
 	d.mu.Unlock()
-	if silent {
+	if hanging {
 		select {
 		case <-ctx.Done():
-		case <-time.After(patience):
+		case <-time.After(timeout):
 		}
-		return errAway
+		return errStoreUnavailable
 	}
-	if shut {
-		return errAway
+	if unavailable {
+		return errStoreUnavailable
 	}
 	if d.link == nil {
 		return nil
 	}
-	const question = 300 // Bytes.
-	wait := d.link.reserve(question)
-	time.Sleep(min(wait, patience))
-	if wait > patience {
-		return errAway
+	const requestBytes = 300 // Bytes.
+	wait := d.link.reserve(requestBytes)
+	time.Sleep(min(wait, timeout))
+	if wait > timeout {
+		return errStoreUnavailable
 	}
 	return nil
 }
 
-func (d *door) List(ctx context.Context, kind string, _ bool) ([]object.Object, uint64, error) {
-	if err := d.pass(ctx, "list "+kind, time.Second); err != nil {
+func (d *storeClient) List(ctx context.Context, kind string, _ bool) ([]object.Object, uint64, error) {
+	if err := d.beginCall(ctx, "list "+kind, time.Second); err != nil {
 		return nil, 0, err
 	}
 	d.store.mu.Lock()
@@ -261,8 +263,8 @@
 	return list, d.store.revision, nil
 }
 
-func (d *door) Page(ctx context.Context, kind, after string) ([]object.Object, error) {
-	if err := d.pass(ctx, "page "+kind, time.Second); err != nil {
+func (d *storeClient) Page(ctx context.Context, kind, after string) ([]object.Object, error) {
+	if err := d.beginCall(ctx, "page "+kind, time.Second); err != nil {
 		return nil, err
 	}
 	d.store.mu.Lock()
@@ -274,11 +276,11 @@
 		}
 	}
 	slices.SortFunc(list, func(a, b object.Object) int { return cmp.Compare(a.Name, b.Name) })
-	return list[:min(len(list), storePage)], nil
+	return list[:min(len(list), storePageSize)], nil
 }
 
-func (d *door) Watch(ctx context.Context, kind string, since uint64, hold time.Duration) ([]object.Event, uint64, error) {
-	if err := d.pass(ctx, "watch "+kind, hold+300*time.Millisecond); err != nil {
+func (d *storeClient) Watch(ctx context.Context, kind string, since uint64, hold time.Duration) ([]object.Event, uint64, error) {
+	if err := d.beginCall(ctx, "watch "+kind, hold+300*time.Millisecond); err != nil {
 		return nil, 0, err
 	}
 	deadline := time.After(hold)
@@ -290,9 +292,9 @@
 				events = append(events, e)
 			}
 		}
-		at, changed, forgotten := d.store.revision, d.store.changed, d.store.forgotten
+		at, changed, compactedAt := d.store.revision, d.store.changed, d.store.compactedAt
 		d.store.mu.Unlock()
-		if since < forgotten {
+		if since < compactedAt {
 			return nil, 0, gateway.ErrForgotten
 		}
 		if len(events) > 0 {
@@ -308,15 +310,15 @@
 	}
 }
 
-func (d *door) Put(ctx context.Context, kind, name string, raw []byte) error {
-	if err := d.pass(ctx, "put "+kind, time.Second); err != nil {
+func (d *storeClient) Put(ctx context.Context, kind, name string, raw []byte) error {
+	if err := d.beginCall(ctx, "put "+kind, time.Second); err != nil {
 		return err
 	}
 	d.store.put(kind, name, json.RawMessage(raw))
 	return nil
 }
 
-// codec stores the product's own types as JSON.
+// codec stores the gateway's own types as JSON.
 type codec struct{}
 
 func (codec) ConfigKind() string  { return kindConfig }
@@ -339,14 +341,14 @@
 
 func (codec) EncodeRollout(o rollout.Order) ([]byte, error) { return json.Marshal(o) }
 
-// keyedConfig is a configuration with workspaces, or without if Spaces is nil.
-type keyedConfig struct {
+// workspaceConfig is a configuration whose workspaces are left out if Spaces is nil.
+type workspaceConfig struct {
 	route.Config
 	Spaces []workspace.Config
 }
 
 func (codec) Routes(o object.Object) (route.Config, error) {
-	var cfg keyedConfig
+	var cfg workspaceConfig
 	if err := json.Unmarshal(o.Spec, &cfg); err != nil {
 		return route.Config{}, err
 	}
@@ -380,7 +382,7 @@
 	return vms
 }
 
-// dialect has no headers but the time that is left.
+// dialect is a minimal gateway.Dialect with short header names.
 type dialect struct{}
 
 func (dialect) RequestID(r *http.Request) string { return r.Header.Get("Id") }
@@ -429,13 +431,13 @@
 func (dialect) WithoutLength() bool                                { return true }
 
 var (
-	_ gateway.Store   = (*door)(nil)
+	_ gateway.Store   = (*storeClient)(nil)
 	_ gateway.Codec   = codec{}
 	_ gateway.Dialect = dialect{}
 )
 
-// countAll returns how many calls were made.
-func (d *door) countAll() int {
+// totalCalls returns the number of calls of all kinds.
+func (d *storeClient) totalCalls() int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	sum := 0
--- a/internal/gateway/gate_test.go
+++ b/internal/gateway/gate_test.go
@@ -12,48 +12,46 @@
 	"github.com/ryehill/ryehill/internal/gateway"
 )
 
-// VMs that the store turns away call it now and then, not for each kind by itself and
-// those that tell nobody seldom, and all is young soon after it answers again.
-func TestCallsToAStoreThatFailsAreSpaced(t *testing.T) {
+// Guards against VMs flooding a failing store with calls, and against slow recovery after it.
+func TestCallsToAStoreBackOff(t *testing.T) {
 	const vms = 5
 	f := newFleet(t)
-	f.worker("w1", "s", "north-a")
+	f.startWorker("w1", "s", "north-a")
 	for i := range vms {
-		f.start(fmt.Sprintf("v%d", i), "north-a", func(cfg *gateway.Config, _ *door) { cfg.StaleAfter = time.Second })
+		f.startVM(fmt.Sprintf("v%d", i), "north-a", func(cfg *gateway.Config, _ *storeClient) { cfg.StaleAfter = time.Second })
 	}
 	for _, v := range f.vms {
-		f.until(v.name+" knows all", func() bool { return len(f.addresses(v, "north")) == vms })
+		f.waitFor(v.name+" knows all VMs", func() bool { return len(f.resolvedAddresses(v, "north")) == vms })
 	}
 	all := func(condition func(*vm) bool) func() bool {
 		return func() bool { return !slices.ContainsFunc(f.vms, func(v *vm) bool { return !condition(v) }) }
 	}
 	for _, v := range f.vms {
-		v.door.set(true, false)
+		v.storeClient.setFailure(true, false)
 	}
-	f.until("knowledge is old", all(func(v *vm) bool { return v.Age() > 4*time.Second }))
+	f.waitFor("state is stale", all(func(v *vm) bool { return v.StateAge() > 4*time.Second }))
 	const span = 4 * time.Second
 	before := make(map[string]int)
 	for _, v := range f.vms {
-		before[v.name] = v.door.countAll()
+		before[v.name] = v.storeClient.totalCalls()
 	}
 	time.Sleep(span)
-	often := 0
+	frequentCallers := 0
 	for _, v := range f.vms {
-		// The wait between two calls is 0.3 to 0.6 s for one VM, 1 to 2 s for the
-		// others.
-		calls := v.door.countAll() - before[v.name]
+		// One VM retries every 0.3 to 0.6 s, the others every 1 to 2 s.
+		calls := v.storeClient.totalCalls() - before[v.name]
 		if calls > 5 {
-			often++
+			frequentCallers++
 		}
 		if calls < 1 || calls > 16 {
 			t.Errorf("%s: %d calls in %s", v.name, calls, span)
 		}
 	}
-	if often > 1 {
-		t.Errorf("%d VMs call often, want one at most", often)
+	if frequentCallers > 1 {
+		t.Errorf("%d VMs call frequently, want one at most", frequentCallers)
 	}
 	for _, v := range f.vms {
-		v.door.set(false, false)
+		v.storeClient.setFailure(false, false)
 	}
-	f.within(2*time.Second, "all is young", all(func(v *vm) bool { return v.Age() < time.Second }))
+	f.waitWithin(2*time.Second, "state is fresh", all(func(v *vm) bool { return v.StateAge() < time.Second }))
 }
--- a/internal/gateway/knowledge_test.go
+++ b/internal/gateway/knowledge_test.go
@@ -16,7 +16,7 @@
 	"github.com/ryehill/ryehill/internal/metrics"
 )
 
-// logLines keeps what a VM logs. It is safe for concurrent use.
+// logLines collects log lines. It is safe for concurrent use.
 type logLines struct {
 	mu    sync.Mutex
 	lines []string
@@ -28,8 +28,8 @@
 	l.lines = append(l.lines, line)
 }
 
-// has reports whether one line holds all the words.
-func (l *logLines) has(words ...string) bool {
+// containsLine reports whether one line contains all words.
+func (l *logLines) containsLine(words ...string) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for _, line := range l.lines {
@@ -46,40 +46,39 @@
 	return false
 }
 
-// exposed returns the metrics as they are served.
-func exposed(set *metrics.Set) string {
+// renderMetrics returns the metrics in the served text format.
+func renderMetrics(set *metrics.Set) string {
 	w := httptest.NewRecorder()
 	set.Handler().ServeHTTP(w, httptest.NewRequest(http.MethodGet, "/metrics", nil))
 	return w.Body.String()
 }
 
-// Logs and metrics tell when what a VM believes is older than a change may take,
-// of which kind and why, and when that is over.
-func TestOldKnowledgeIsTold(t *testing.T) {
+// Guards against stale state, its cause or its end missing from logs and metrics.
+func TestStaleStateIsReported(t *testing.T) {
 	f := newFleet(t)
-	f.worker("w1", "s", "north-a")
+	f.startWorker("w1", "s", "north-a")
 	var lines logLines
 	set := metrics.New()
-	v := f.start("a", "north-a", func(cfg *gateway.Config, _ *door) {
+	v := f.startVM("a", "north-a", func(cfg *gateway.Config, _ *storeClient) {
 		cfg.Log = funcr.NewJSON(lines.add, funcr.Options{})
 		cfg.Metrics = set
 	})
-	f.until("it serves", v.ready)
-	v.door.set(true, false)
-	f.until("the log says that knowledge is old, and why", func() bool {
-		return lines.has("knowledge: older than a change may take", `"kind":"config"`, errAway.Error())
+	f.waitFor("the VM is ready", v.ready)
+	v.storeClient.setFailure(true, false)
+	f.waitFor("the log reports stale state and its cause", func() bool {
+		return lines.containsLine("knowledge: older than a change may take", `"kind":"config"`, errStoreUnavailable.Error())
 	})
-	f.until("the log says that the VM passes itself over", func() bool { return lines.has("watchers: what one knows is old", `"peer":"a"`) })
-	if text := exposed(set); !strings.Contains(text, `ryehill_watchers_passed_over_total{reason="old knowledge"}`) {
+	f.waitFor("the log reports that the VM is passed over as watcher", func() bool { return lines.containsLine("watchers: what one knows is old", `"peer":"a"`) })
+	if text := renderMetrics(set); !strings.Contains(text, `ryehill_watchers_passed_over_total{reason="old knowledge"}`) {
 		t.Error("no counter of watchers that were passed over")
 	}
-	f.until("the gauge has the age", func() bool {
-		// From two seconds on: "... 2." or a larger figure before the point.
-		text := exposed(set)
+	f.waitFor("the gauge shows the age", func() bool {
+		// The age is 2 s or more.
+		text := renderMetrics(set)
 		return !strings.Contains(text, `ryehill_knowledge_age_seconds{kind="config"} 0`) &&
 			!strings.Contains(text, `ryehill_knowledge_age_seconds{kind="config"} 1`) &&
 			strings.Contains(text, `ryehill_knowledge_age_seconds{kind="config"}`)
 	})
-	v.door.set(false, false)
-	f.until("the log says that it is over", func() bool { return lines.has("knowledge: young again", `"kind":"config"`) })
+	v.storeClient.setFailure(false, false)
+	f.waitFor("the log reports fresh state", func() bool { return lines.containsLine("knowledge: young again", `"kind":"config"`) })
 }
--- a/internal/gateway/lapse_test.go
+++ b/internal/gateway/lapse_test.go
@@ -13,33 +13,32 @@
 	"github.com/ryehill/ryehill/state/worker"
 )
 
-// Entries that lapse while the store is away are believed until their workers
-// have had the time to write them again; those of workers that leave are not.
-func TestEntriesThatLapseAreBelievedForAWhile(t *testing.T) {
+// Guards against dropping lapsed entries before their workers had time to write them again.
+func TestEntriesThatLapseAreRetained(t *testing.T) {
 	f := newFleet(t)
-	f.worker("w1", "s", "north-a")
-	f.worker("w2", "s", "north-a")
-	v := f.start("a", "north-a", nil)
-	f.until("it serves", v.ready)
+	f.startWorker("w1", "s", "north-a")
+	f.startWorker("w2", "s", "north-a")
+	v := f.startVM("a", "north-a", nil)
+	f.waitFor("the VM is ready", v.ready)
 	entry := f.store.get(kindWorkers, "w1")
-	v.door.set(true, false)
-	// A watch that the store still held may confirm for half of staleAfter.
+	v.storeClient.setFailure(true, false)
+	// A watch that is still held may confirm the state for another half of staleAfter.
 	time.Sleep(staleAfter + staleAfter/2 + 1500*time.Millisecond)
 	f.store.remove(kindWorkers, "w1")
 	f.store.remove(kindWorkers, "w2")
-	v.door.set(false, false)
+	v.storeClient.setFailure(false, false)
 	returned := time.Now()
-	f.until("the store was heard", func() bool { return v.door.count("watch "+kindWorkers) > 0 })
+	f.waitFor("the store was read again", func() bool { return v.storeClient.callCount("watch "+kindWorkers) > 0 })
 	for time.Since(returned) < 1500*time.Millisecond {
-		if status, _ := v.ask("/"); status != http.StatusOK {
+		if status, _ := v.sendRequest("/"); status != http.StatusOK {
 			t.Fatalf("status %d, %s after the store's return", status, time.Since(returned))
 		}
 		time.Sleep(20 * time.Millisecond)
 	}
 	f.store.putRaw(kindWorkers, entry)
-	f.within(3*time.Second, "only the worker that wrote its entry again answers", func() bool {
+	f.waitWithin(3*time.Second, "only the worker that wrote its entry again answers", func() bool {
 		for range 12 {
-			if _, id := v.ask("/"); id != "w1" {
+			if _, id := v.sendRequest("/"); id != "w1" {
 				return false
 			}
 		}
@@ -47,7 +46,7 @@
 	})
 }
 
-func TestLapsedKeepsNoneThatLeave(t *testing.T) {
+func TestLapsedDropsLeavingWorkers(t *testing.T) {
 	now := time.Now()
 	confirmed := now.Add(-5 * time.Second)
 	before := map[string]*worker.Worker{"stays": {ID: "stays"}, "gone": {ID: "gone"}, "left": {ID: "left", Leaving: true}}
@@ -56,8 +55,8 @@
 		graceEnd time.Time
 		want     int
 	}{
-		"within the grace": {now.Add(time.Second), 1},
-		"after it":         {now, 0},
+		"within the grace period": {now.Add(time.Second), 1},
+		"after the grace period":  {now, 0},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -69,7 +68,7 @@
 	}
 }
 
-// A store that comes back without a worker's entry must not make one that has ended warm.
+// Guards against treating a terminated worker as warm because its entry lapsed.
 func TestLapsedEntryTellsOfNoEnd(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t)
@@ -77,22 +76,22 @@
 		Version: 2, Services: []route.Service{{Name: "s", ColdRate: 11, ColdStart: 20 * time.Second}},
 		Routes: []route.Route{{Name: "r", Host: "h", Prefix: "/", Timeout: 5 * time.Second, Targets: []route.Target{{Service: "s", Weight: 1}}}},
 	})
-	f.worker("ended", "s", "north-a")
-	f.worker("lives", "s", "north-a")
-	v := f.start("a", "north-a", nil)
-	f.until("it serves", v.ready)
-	v.door.set(true, false)
+	f.startWorker("ended", "s", "north-a")
+	f.startWorker("lives", "s", "north-a")
+	v := f.startVM("a", "north-a", nil)
+	f.waitFor("the VM is ready", v.ready)
+	v.storeClient.setFailure(true, false)
 	time.Sleep(staleAfter + staleAfter/2)
-	v.SawEnd("ended")
+	v.RecordConnectionsClosed("ended")
 	time.Sleep(1500 * time.Millisecond)
 	f.store.remove(kindWorkers, "ended")
 	f.store.remove(kindWorkers, "lives")
-	v.door.set(false, false)
+	v.storeClient.setFailure(false, false)
 	returned := time.Now()
-	f.until("the store was heard", func() bool { return v.door.count("watch "+kindWorkers) > 0 })
+	f.waitFor("the store was read again", func() bool { return v.storeClient.callCount("watch "+kindWorkers) > 0 })
 	for time.Since(returned) < 1800*time.Millisecond {
-		if !v.Cold("ended") || v.Cold("lives") {
-			t.Fatalf("%s after the store's return: one that ended is cold: %t, one that lived on: %t", time.Since(returned), v.Cold("ended"), v.Cold("lives"))
+		if !v.IsCold("ended") || v.IsCold("lives") {
+			t.Fatalf("%s after the store's return: terminated worker cold: %t, running worker cold: %t", time.Since(returned), v.IsCold("ended"), v.IsCold("lives"))
 		}
 		time.Sleep(20 * time.Millisecond)
 	}
--- a/internal/gateway/longways_test.go
+++ b/internal/gateway/longways_test.go
@@ -13,51 +13,51 @@
 	"github.com/ryehill/ryehill/internal/gateway"
 )
 
-// oneWay is the time that a message takes to another region.
-const oneWay = 35 * time.Millisecond
+// oneWayLatency is the one-way latency between regions.
+const oneWayLatency = 35 * time.Millisecond
 
-// longWays makes all that a VM tells its peers take as long as to another region.
-func longWays(cfg *gateway.Config, _ *door) {
+// withInterRegionLatency delays a VM's traffic with its peers by oneWayLatency.
+func withInterRegionLatency(cfg *gateway.Config, _ *storeClient) {
 	cfg.Listen = func(address string) (net.Listener, error) {
 		inner, err := net.Listen("tcp", address)
-		return farListener{inner}, err
+		return delayedListener{inner}, err
 	}
 	cfg.Dial = func(ctx context.Context, address string) (net.Conn, error) {
-		time.Sleep(2 * oneWay)
+		time.Sleep(2 * oneWayLatency)
 		conn, err := (&net.Dialer{}).DialContext(ctx, "tcp", address)
 		if err != nil {
 			return nil, err
 		}
-		return newFarConn(conn), nil
+		return newDelayedConn(conn), nil
 	}
 }
 
-type farListener struct{ net.Listener }
+type delayedListener struct{ net.Listener }
 
 // Accept implements net.Listener.
-func (l farListener) Accept() (net.Conn, error) {
+func (l delayedListener) Accept() (net.Conn, error) {
 	conn, err := l.Listener.Accept()
 	if err != nil {
 		return nil, err
 	}
-	return newFarConn(conn), nil
+	return newDelayedConn(conn), nil
 }
 
-// farConn delivers what is written after oneWay.
-type farConn struct {
+// delayedConn delivers each write after oneWayLatency.
+type delayedConn struct {
 	net.Conn
-	queue chan farWrite
+	queue chan delayedWrite
 	done  chan struct{}
 }
 
-type farWrite struct {
+type delayedWrite struct {
 	due  time.Time
 	data []byte
 }
 
-func newFarConn(conn net.Conn) farConn {
+func newDelayedConn(conn net.Conn) delayedConn {
 	const writes = 1024
-	c := farConn{Conn: conn, queue: make(chan farWrite, writes), done: make(chan struct{})}
+	c := delayedConn{Conn: conn, queue: make(chan delayedWrite, writes), done: make(chan struct{})}
 	go func() {
 		for {
 			select {
@@ -75,9 +75,9 @@
 }
 
 // Write implements net.Conn.
-func (c farConn) Write(b []byte) (int, error) {
+func (c delayedConn) Write(b []byte) (int, error) {
 	select {
-	case c.queue <- farWrite{time.Now().Add(oneWay), append([]byte(nil), b...)}:
+	case c.queue <- delayedWrite{time.Now().Add(oneWayLatency), append([]byte(nil), b...)}:
 		return len(b), nil
 	case <-c.done:
 		return 0, net.ErrClosed
@@ -85,7 +85,7 @@
 }
 
 // Close implements net.Conn.
-func (c farConn) Close() error {
+func (c delayedConn) Close() error {
 	select {
 	case <-c.done:
 	default:
@@ -94,40 +94,42 @@
 	return c.Conn.Close()
 }
 
-// VMs that do not get an answer in time must not all hand out the limit of one worker.
-func TestLimitOverLongWays(t *testing.T) {
+// Guards against several VMs issuing permits for one worker's limit when answers are slow.
+func TestLimitWithInterRegionLatency(t *testing.T) {
 	t.Parallel()
 	const limit = 3.5
 	f := newFleet(t)
-	f.repeatableConfig()
+	f.putRetryableConfig()
 	var workers []*signalWorker
 	for i := range 6 {
-		workers = append(workers, f.signalWorker(fmt.Sprintf("w%d", i), "south-a"))
+		workers = append(workers, f.startSignalWorker(fmt.Sprintf("w%d", i), "south-a"))
 	}
 	for i := range 10 {
-		f.start(fmt.Sprintf("v%d", i), []string{"north-a", "south-a"}[i%2], longWays)
+		f.startVM(fmt.Sprintf("v%d", i), []string{"north-a", "south-a"}[i%2], withInterRegionLatency)
 	}
 	for _, v := range f.vms {
-		f.until(v.name+" knows all", func() bool { return len(f.addresses(v, "north")) == 5 && len(f.addresses(v, "south")) == 5 })
+		f.waitFor(v.name+" knows all VMs", func() bool {
+			return len(f.resolvedAddresses(v, "north")) == 5 && len(f.resolvedAddresses(v, "south")) == 5
+		})
 	}
 	for _, w := range workers {
-		w.name(limit)
+		w.setLimit(limit)
 	}
-	stop, ended := make(chan struct{}), make(chan *answers)
-	go func() { ended <- f.load(5*time.Millisecond, stop) }()
+	stop, ended := make(chan struct{}), make(chan *outcomes)
+	go func() { ended <- f.generateLoad(5*time.Millisecond, stop) }()
 	time.Sleep(limitWindow)
 	settled := time.Now()
 	time.Sleep(2 * limitWindow)
 	span, used := time.Since(settled), 0
 	for _, w := range workers {
-		used += w.since(settled)
+		used += w.arrivalsAfter(settled)
 		if got, allowed := w.overLimit(); got > allowed {
 			t.Errorf("%s got %.0f requests in %s, %.1f allowed", w.id, got, limitWindow, allowed)
 		}
 	}
 	close(stop)
 	<-ended
-	if most := limit * float64(len(workers)) * span.Seconds(); float64(used) < limitUsed*most {
-		t.Errorf("%d requests were run where %.0f would have been taken", used, most)
+	if capacity := limit * float64(len(workers)) * span.Seconds(); float64(used) < minLimitUtilization*capacity {
+		t.Errorf("%d requests ran, the limits allow %.0f", used, capacity)
 	}
 }
--- a/internal/gateway/outliers_test.go
+++ b/internal/gateway/outliers_test.go
@@ -15,69 +15,67 @@
 	"github.com/ryehill/ryehill/state/worker"
 )
 
-// VMs that each see too few failures of a worker to tell find it together: each
-// sends it one request, which fails, and then none of them sends it any.
-func TestVMsSpareAFailingWorkerTogether(t *testing.T) {
+// Guards against VMs that see one failure each not ejecting the worker together.
+func TestVMsEjectFailingWorkerTogether(t *testing.T) {
 	f, vms := threeVMs(t)
-	var asked atomic.Int64
+	var requests atomic.Int64
 	bad := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
-		asked.Add(1)
+		requests.Add(1)
 		w.WriteHeader(http.StatusInternalServerError)
 	}))
 	t.Cleanup(bad.Close)
 	f.store.put(kindWorkers, "bad", worker.Worker{Service: "s", Hall: "north-a", Slots: 4, Address: strings.TrimPrefix(bad.URL, "http://")})
 	f.store.remove(kindWorkers, "w1")
 	for _, v := range vms {
-		f.until(v.name+" sends it a request", func() bool {
-			status, _ := v.ask("/")
+		f.waitFor(v.name+" sends the worker a request", func() bool {
+			status, _ := v.sendRequest("/")
 			return status == http.StatusInternalServerError
 		})
 	}
-	before := asked.Load()
+	before := requests.Load()
 	if before != int64(len(vms)) {
-		t.Fatalf("it got %d requests of %d VMs", before, len(vms))
+		t.Fatalf("the worker got %d requests from %d VMs", before, len(vms))
 	}
 	for i := range 5 {
-		f.worker(fmt.Sprintf("good%d", i), "s", "north-a")
+		f.startWorker(fmt.Sprintf("good%d", i), "s", "north-a")
 	}
-	time.Sleep(1200 * time.Millisecond) // Two questions to the watcher, within the first spell.
+	time.Sleep(1200 * time.Millisecond) // Time for two sync requests, within the first ejection.
 	for _, v := range vms {
 		for range 20 {
-			v.ask("/")
+			v.sendRequest("/")
 		}
 	}
-	if got := asked.Load() - before; got > 0 {
-		t.Errorf("it got %d requests more", got)
+	if got := requests.Load() - before; got > 0 {
+		t.Errorf("the ejected worker got %d more requests", got)
 	}
 }
 
-// A worker whose address has passed to another is found out by one request of one
-// VM: no other VM sends it any.
-func TestVMsHearThatAWorkerHasEnded(t *testing.T) {
+// Guards against other VMs sending requests to an address that one VM found reused.
+func TestVMsHearThatAnAddressIsReused(t *testing.T) {
 	f, vms := threeVMs(t)
-	var asked atomic.Int64
+	var requests atomic.Int64
 	other := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
-		asked.Add(1)
+		requests.Add(1)
 		w.WriteHeader(http.StatusMisdirectedRequest)
 	}))
 	t.Cleanup(other.Close)
 	f.store.put(kindWorkers, "ended", worker.Worker{Service: "s", Hall: "north-a", Slots: 4, Address: strings.TrimPrefix(other.URL, "http://")})
 	f.store.remove(kindWorkers, "w1")
-	f.until("one VM sends it a request", func() bool {
-		vms[0].ask("/")
-		return asked.Load() > 0
+	f.waitFor("one VM sends the worker a request", func() bool {
+		vms[0].sendRequest("/")
+		return requests.Load() > 0
 	})
 	for i := range 5 {
-		f.worker(fmt.Sprintf("good%d", i), "s", "north-a")
+		f.startWorker(fmt.Sprintf("good%d", i), "s", "north-a")
 	}
-	time.Sleep(1200 * time.Millisecond) // Two questions to the watcher, within the first spell.
-	before := asked.Load()
+	time.Sleep(1200 * time.Millisecond) // Time for two sync requests, within the first ejection.
+	before := requests.Load()
 	for _, v := range vms {
 		for range 20 {
-			v.ask("/")
+			v.sendRequest("/")
 		}
 	}
-	if got := asked.Load() - before; got > 0 {
-		t.Errorf("it got %d requests of VMs that could know", got)
+	if got := requests.Load() - before; got > 0 {
+		t.Errorf("the reused address got %d more requests", got)
 	}
 }
--- a/internal/gateway/packs_test.go
+++ b/internal/gateway/packs_test.go
@@ -18,7 +18,7 @@
 	"github.com/ryehill/ryehill/state/object"
 )
 
-// workersDelta is a delta of some workers as the users' store describes them.
+// workersDelta returns a delta of n workers with specs of realistic size.
 func workersDelta(n int) object.Delta {
 	random := rand.New(rand.NewPCG(1, 2))
 	d := object.Delta{Kind: kindWorkers, At: uint64(n)}
@@ -31,28 +31,27 @@
 	return d
 }
 
-// A large delta is told at once, packed to those who understand that, and holds the
-// same for both.
+// Guards against large deltas being delayed, sent unpacked to VMs that unpack, or altered by packing.
 func TestLargeDeltasArePacked(t *testing.T) {
 	f := newFleet(t)
-	v := f.start("a", "north-a", nil)
-	f.until("it serves", v.ready)
+	v := f.startVM("a", "north-a", nil)
+	f.waitFor("the VM is ready", v.ready)
 	since := make(map[string]uint64)
 	for _, kind := range []string{kindConfig, kindClosed, kindMembers, kindTraffic, kindWorkers} {
-		since[kind] = f.store.atRevision()
+		since[kind] = f.store.currentRevision()
 	}
 	changes := workersDelta(400)
 	for _, e := range changes.Events {
 		f.store.putRaw(kindWorkers, e.Object)
 	}
 	last := changes.Events[len(changes.Events)-1].Name
-	f.until("it knows all", func() bool { return v.Knows(last) })
-	told := make(map[bool][]*peerpb.ObjectEvent)
+	f.waitFor("the VM knows all workers", func() bool { return v.KnowsWorker(last) })
+	eventsByPacked := make(map[bool][]*peerpb.ObjectEvent)
 	for _, packed := range []bool{false, true} {
-		begun := time.Now()
-		answer := v.Tell(context.Background(), &peerpb.Sync{HoldMillis: 350, Since: since, TakesListed: true, TakesPacked: packed})
-		if took := time.Since(begun); took > 200*time.Millisecond {
-			t.Errorf("packed %t: told after %s", packed, took)
+		start := time.Now()
+		answer := v.AnswerSync(context.Background(), &peerpb.Sync{HoldMillis: 350, Since: since, TakesListed: true, TakesPacked: packed})
+		if took := time.Since(start); took > 200*time.Millisecond {
+			t.Errorf("packed %t: answered after %s", packed, took)
 		}
 		for _, d := range answer.GetDeltas() {
 			if d.GetKind() != kindWorkers {
@@ -61,44 +60,44 @@
 			if (len(d.GetPacked()) > 0) != packed {
 				t.Errorf("packed %t: %d packed bytes", packed, len(d.GetPacked()))
 			}
-			whole, err := gateway.Unpack(d)
+			unpacked, err := gateway.Unpack(d)
 			if err != nil {
 				t.Fatal(err)
 			}
-			told[packed] = whole.GetEvents()
+			eventsByPacked[packed] = unpacked.GetEvents()
 		}
 	}
-	if len(told[true]) != len(changes.Events) || len(told[false]) != len(told[true]) {
-		t.Fatalf("%d and %d events, want %d", len(told[false]), len(told[true]), len(changes.Events))
+	if len(eventsByPacked[true]) != len(changes.Events) || len(eventsByPacked[false]) != len(eventsByPacked[true]) {
+		t.Fatalf("%d and %d events, want %d", len(eventsByPacked[false]), len(eventsByPacked[true]), len(changes.Events))
 	}
-	for i, e := range told[true] {
-		if !bytes.Equal(e.GetSpec(), told[false][i].GetSpec()) {
+	for i, e := range eventsByPacked[true] {
+		if !bytes.Equal(e.GetSpec(), eventsByPacked[false][i].GetSpec()) {
 			t.Fatalf("event %d differs", i)
 		}
 	}
 }
 
-// What is packed but cannot be read is an error.
-func TestPackedDeltaThatCannotBeRead(t *testing.T) {
-	cases := map[string][]byte{"no deflate": []byte("abc"), "cut off": gateway.Packed(workersDelta(400))[:300]}
+// Guards against accepting a corrupt packed delta.
+func TestInvalidPackedDelta(t *testing.T) {
+	cases := map[string][]byte{"not deflate data": []byte("abc"), "truncated": gateway.PackDelta(workersDelta(400))[:300]}
 	for name, packed := range cases {
 		t.Run(name, func(t *testing.T) {
 			if d, err := gateway.Unpack(&peerpb.Delta{Kind: kindWorkers, Packed: packed}); err == nil {
-				t.Errorf("read as %d events", len(d.GetEvents()))
+				t.Errorf("unpacked as %d events", len(d.GetEvents()))
 			}
 		})
 	}
 }
 
-// BenchmarkPackedCopy tells how many bytes a copy of 1,617 workers takes: 231 KB
-// before deltas were packed, 28 KB packed.
+// BenchmarkPackedCopy measures packing a full copy of the workers, and reports its size
+// before and after.
 func BenchmarkPackedCopy(b *testing.B) {
 	d := workersDelta(1617)
 	d.Full = true
-	plain := proto.Size(gateway.Unpacked(d))
+	plain := proto.Size(gateway.PlainDelta(d))
 	packed := 0
 	for b.Loop() {
-		packed = len(gateway.Packed(d))
+		packed = len(gateway.PackDelta(d))
 	}
 	b.ReportMetric(float64(plain), "plain-bytes")
 	b.ReportMetric(float64(packed), "packed-bytes")
--- a/internal/gateway/partition_test.go
+++ b/internal/gateway/partition_test.go
@@ -15,38 +15,38 @@
 	"github.com/ryehill/ryehill/internal/gateway"
 )
 
-var errCut = errors.New("the test has cut this way")
+var errPartitioned = errors.New("connection blocked by the test's partition")
 
-// partition cuts VMs off from each other.
+// partition simulates network partitions between VMs.
 type partition struct {
 	mu sync.Mutex
-	// groups says by IP number in which part of the fleet a VM is.
+	// groups holds the partition group of each VM by IP address.
 	groups map[string]int
 	ips    []string
-	open   map[*cutConn]bool
+	conns  map[*peerConn]bool
 }
 
 func newPartition() *partition {
-	return &partition{groups: make(map[string]int), open: make(map[*cutConn]bool)}
+	return &partition{groups: make(map[string]int), conns: make(map[*peerConn]bool)}
 }
 
-// cutConn is a connection from one VM to another.
-type cutConn struct {
+// peerConn is a tracked connection between two VMs.
+type peerConn struct {
 	net.Conn
 	p        *partition
 	from, to string
 }
 
 // Close implements net.Conn.
-func (c *cutConn) Close() error {
+func (c *peerConn) Close() error {
 	c.p.mu.Lock()
 	defer c.p.mu.Unlock()
-	delete(c.p.open, c)
+	delete(c.p.conns, c)
 	return c.Conn.Close()
 }
 
-// cuttable makes the connections of a VM to its peers end with a cut.
-func (p *partition) cuttable(cfg *gateway.Config, _ *door) {
+// interceptDial makes a VM's connections to its peers subject to the partition.
+func (p *partition) interceptDial(cfg *gateway.Config, _ *storeClient) {
 	own, _, _ := net.SplitHostPort(cfg.Peer)
 	p.ips = append(p.ips, own)
 	cfg.Dial = func(ctx context.Context, address string) (net.Conn, error) {
@@ -59,41 +59,40 @@
 		defer p.mu.Unlock()
 		if p.groups[own] != p.groups[to] {
 			_ = conn.Close()
-			return nil, errCut
+			return nil, errPartitioned
 		}
-		c := &cutConn{Conn: conn, p: p, from: own, to: to}
-		p.open[c] = true
+		c := &peerConn{Conn: conn, p: p, from: own, to: to}
+		p.conns[c] = true
 		return c, nil
 	}
 }
 
-// divide puts each VM into a group, given by its place, and ends the connections between
-// groups.
-func (p *partition) divide(group func(vm int) int) {
+// split assigns VMs to groups by index and closes connections between different groups.
+func (p *partition) split(group func(vm int) int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for i, ip := range p.ips {
 		p.groups[ip] = group(i)
 	}
-	for c := range p.open {
+	for c := range p.conns {
 		if p.groups[c.from] != p.groups[c.to] {
 			_ = c.Conn.Close()
-			delete(p.open, c)
+			delete(p.conns, c)
 		}
 	}
 }
 
-// Parts of a fleet that do not see each other must keep a worker's limit together.
-func TestLimitsThroughFaults(t *testing.T) {
+// Guards against exceeding a worker's limit while VMs are partitioned or stop.
+func TestLimitsDuringPartitions(t *testing.T) {
 	t.Parallel()
 	const vms, limit, turn = 6, 3.0, 1500 * time.Millisecond
 	cases := map[string]func(f *fleet, p *partition){
-		"halves":  func(_ *fleet, p *partition) { p.divide(func(vm int) int { return vm % 2 }); time.Sleep(4 * turn) },
-		"thirds":  func(_ *fleet, p *partition) { p.divide(func(vm int) int { return vm % 3 }); time.Sleep(4 * turn) },
-		"singles": func(_ *fleet, p *partition) { p.divide(func(vm int) int { return vm }); time.Sleep(4 * turn) },
-		"one after the other is cut off": func(_ *fleet, p *partition) {
-			for cut := range vms {
-				p.divide(func(vm int) int { return max(0, 1-(vm-cut)*(vm-cut)) })
+		"halves":  func(_ *fleet, p *partition) { p.split(func(vm int) int { return vm % 2 }); time.Sleep(4 * turn) },
+		"thirds":  func(_ *fleet, p *partition) { p.split(func(vm int) int { return vm % 3 }); time.Sleep(4 * turn) },
+		"singles": func(_ *fleet, p *partition) { p.split(func(vm int) int { return vm }); time.Sleep(4 * turn) },
+		"each VM isolated in turn": func(_ *fleet, p *partition) {
+			for isolated := range vms {
+				p.split(func(vm int) int { return max(0, 1-(vm-isolated)*(vm-isolated)) })
 				time.Sleep(turn)
 			}
 		},
@@ -108,26 +107,26 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			f, p := newFleet(t), newPartition()
-			f.repeatableConfig()
+			f.putRetryableConfig()
 			var workers []*signalWorker
 			for i := range 4 {
-				workers = append(workers, f.signalWorker(fmt.Sprintf("w%d", i), []string{"north-a", "north-b"}[i%2]))
+				workers = append(workers, f.startSignalWorker(fmt.Sprintf("w%d", i), []string{"north-a", "north-b"}[i%2]))
 			}
 			for i := range vms {
-				f.start(fmt.Sprintf("v%d", i), []string{"north-a", "north-b"}[i%2], p.cuttable)
+				f.startVM(fmt.Sprintf("v%d", i), []string{"north-a", "north-b"}[i%2], p.interceptDial)
 			}
 			for _, v := range f.vms {
-				f.until(v.name+" knows all", func() bool { return len(f.addresses(v, "north")) == vms })
+				f.waitFor(v.name+" knows all VMs", func() bool { return len(f.resolvedAddresses(v, "north")) == vms })
 			}
-			time.Sleep(2 * time.Second) // Until then VMs that have started hand out nothing.
+			time.Sleep(2 * time.Second) // VMs that have just started issue no permits.
 			for _, w := range workers {
-				w.name(limit)
+				w.setLimit(limit)
 			}
-			stop, ended := make(chan struct{}), make(chan *answers)
-			go func() { ended <- f.load(5*time.Millisecond, stop) }()
+			stop, ended := make(chan struct{}), make(chan *outcomes)
+			go func() { ended <- f.generateLoad(5*time.Millisecond, stop) }()
 			time.Sleep(turn)
 			fault(f, p)
-			p.divide(func(int) int { return 0 })
+			p.split(func(int) int { return 0 })
 			time.Sleep(2 * turn)
 			close(stop)
 			<-ended
--- a/internal/gateway/quarantine_test.go
+++ b/internal/gateway/quarantine_test.go
@@ -17,8 +17,8 @@
 	"github.com/ryehill/ryehill/state/route"
 )
 
-// repeatableConfig writes a configuration whose requests may be repeated once.
-func (f *fleet) repeatableConfig() {
+// putRetryableConfig writes a configuration whose requests may be retried once.
+func (f *fleet) putRetryableConfig() {
 	f.store.put(kindConfig, "main", route.Config{
 		Version: 2, Services: []route.Service{{Name: "s"}},
 		Routes: []route.Route{{
@@ -28,17 +28,17 @@
 	})
 }
 
-// press sends requests for a path to VMs by chance until the test stops it.
-func (f *fleet) press(path string, every time.Duration, stop <-chan struct{}) {
+// sendUntilStopped sends requests to random VMs until stop is closed.
+func (f *fleet) sendUntilStopped(path string, every time.Duration, stop <-chan struct{}) {
 	var served, failed atomic.Int64
-	f.send(path, every, stop, func() bool { return true }, &served, &failed)
+	f.sendCounted(path, every, stop, func() bool { return true }, &served, &failed)
 }
 
-// send sends requests for a path to VMs by chance until the test stops it, and counts
-// those that were served after the time for the fleet to know.
-func (f *fleet) send(path string, every time.Duration, stop <-chan struct{}, after func() bool, served, failed *atomic.Int64) {
-	var open sync.WaitGroup
-	defer open.Wait()
+// sendCounted sends requests to random VMs until stop is closed, and counts the outcomes of
+// those for which shouldCount returned true when they were sent.
+func (f *fleet) sendCounted(path string, every time.Duration, stop <-chan struct{}, shouldCount func() bool, served, failed *atomic.Int64) {
+	var pending sync.WaitGroup
+	defer pending.Wait()
 	for {
 		select {
 		case <-stop:
@@ -46,9 +46,9 @@
 		case <-time.After(every):
 		}
 		v := f.vms[rand.IntN(len(f.vms))]
-		counted := after()
-		open.Go(func() {
-			status, _ := v.ask(path)
+		counted := shouldCount()
+		pending.Go(func() {
+			status, _ := v.sendRequest(path)
 			switch {
 			case !counted:
 			case status == http.StatusOK:
@@ -60,50 +60,45 @@
 	}
 }
 
-// sixVMs starts six VMs and nine workers that a request can end, in three halls of two
-// regions, and waits until all VMs know each other.
+// sixVMs starts six VMs and nine crashWorkers in three halls of two regions, and waits until
+// all VMs resolve each other.
 func sixVMs(t *testing.T) (*fleet, *crashWorkers) {
-	inTurn := []string{"north-a", "north-b", "south-a"}
+	hallCycle := []string{"north-a", "north-b", "south-a"}
 	f, m := newFleet(t), &crashWorkers{}
 	t.Cleanup(m.close)
-	f.repeatableConfig()
+	f.putRetryableConfig()
 	for i := range 9 {
-		m.start(f, fmt.Sprintf("w%d", i), inTurn[i%3])
+		m.start(f, fmt.Sprintf("w%d", i), hallCycle[i%3])
 	}
 	for i := range 6 {
-		f.start(fmt.Sprintf("v%d", i), inTurn[i%3], nil)
+		f.startVM(fmt.Sprintf("v%d", i), hallCycle[i%3], nil)
 	}
 	for _, v := range f.vms {
-		f.until(v.name+" knows all", func() bool { return len(f.addresses(v, "north")) == 4 && len(f.addresses(v, "south")) == 2 })
+		f.waitFor(v.name+" knows all VMs", func() bool {
+			return len(f.resolvedAddresses(v, "north")) == 4 && len(f.resolvedAddresses(v, "south")) == 2
+		})
 	}
 	return f, m
 }
 
-// What users saw: lookups failed in waves, since one request, sent again and again to any
-// VM, ended the worker that began to run it, each time another one. The VMs tried it
-// at a second worker, answered 502, paused the workers, and forgot it: 12 to 15
-// workers more after the third, 38 in all.
-//
-// The cause is that no VM remembers what a request has done, and none tells others:
-// each attempt is judged alone, and only workers are ever blamed. What proved it: a
-// single fingerprint was under way at every worker that hung up, at VMs of all regions.
+// Guards against a repeated request crashing one worker after another.
 func TestRequestThatEndsWorkers(t *testing.T) {
 	cases := map[string]struct {
-		// meanwhile is done to the fleet once three workers have ended.
-		meanwhile func(f *fleet)
-		// before is done when all know each other, and nothing has been sent.
+		// afterCrashes runs once three workers have crashed.
+		afterCrashes func(f *fleet)
+		// before runs before the first request.
 		before func(f *fleet)
-		// innocents is whether all others must be served afterwards.
-		innocents bool
+		// checkOthers requires that other requests keep being served.
+		checkOthers bool
 	}{
-		"plain": {innocents: true},
+		"plain": {checkOthers: true},
 		"the store is away": {before: func(f *fleet) {
 			for _, v := range f.vms {
-				v.door.set(true, false)
+				v.storeClient.setFailure(true, false)
 			}
 		}},
-		"all VMs start again": {meanwhile: func(f *fleet) {
-			time.Sleep(knownWithin / 2)
+		"all VMs restart": {afterCrashes: func(f *fleet) {
+			time.Sleep(quarantineWithin / 2)
 			f.restartAll()
 		}},
 	}
@@ -114,47 +109,51 @@
 			if c.before != nil {
 				c.before(f)
 			}
-			m.check(t, f, c.meanwhile, c.innocents)
+			m.checkQuarantine(t, f, c.afterCrashes, c.checkOthers)
 		})
 	}
 }
 
-// check sends the poison request and innocent ones until it is clear whether the fleet
-// knows the former.
-func (m *crashWorkers) check(t *testing.T, f *fleet, meanwhile func(*fleet), innocents bool) {
+// checkQuarantine sends poison and other requests and checks that the VMs quarantine the
+// former.
+func (m *crashWorkers) checkQuarantine(t *testing.T, f *fleet, afterCrashes func(*fleet), checkOthers bool) {
 	var served, failed, poisonServed, poisonFailed atomic.Int64
 	known := func() bool {
-		third, ok := m.third()
-		return ok && time.Since(third) > knownWithin
+		third, ok := m.thirdCrash()
+		return ok && time.Since(third) > quarantineWithin
 	}
 	stop, stopPoison := make(chan struct{}), make(chan struct{})
 	var senders sync.WaitGroup
-	senders.Go(func() { f.send(poison, 50*time.Millisecond, stopPoison, known, &poisonServed, &poisonFailed) })
-	senders.Go(func() { f.send("/popular", 20*time.Millisecond, stop, known, &served, &failed) })
-	f.until("three workers have ended", func() bool { _, ok := m.third(); return ok })
-	if meanwhile != nil {
+	senders.Go(func() {
+		f.sendCounted(poisonPath, 50*time.Millisecond, stopPoison, known, &poisonServed, &poisonFailed)
+	})
+	senders.Go(func() { f.sendCounted("/popular", 20*time.Millisecond, stop, known, &served, &failed) })
+	f.waitFor("three workers have crashed", func() bool { _, ok := m.thirdCrash(); return ok })
+	if afterCrashes != nil {
 		close(stop)
 		close(stopPoison)
 		senders.Wait()
-		meanwhile(f)
+		afterCrashes(f)
 		stop, stopPoison = make(chan struct{}), make(chan struct{})
-		senders.Go(func() { f.send(poison, 50*time.Millisecond, stopPoison, known, &poisonServed, &poisonFailed) })
-		senders.Go(func() { f.send("/popular", 20*time.Millisecond, stop, known, &served, &failed) })
+		senders.Go(func() {
+			f.sendCounted(poisonPath, 50*time.Millisecond, stopPoison, known, &poisonServed, &poisonFailed)
+		})
+		senders.Go(func() { f.sendCounted("/popular", 20*time.Millisecond, stop, known, &served, &failed) })
 	}
-	third, _ := m.third()
-	time.Sleep(time.Until(third.Add(knownWithin)) + 3*time.Second)
+	third, _ := m.thirdCrash()
+	time.Sleep(time.Until(third.Add(quarantineWithin)) + 3*time.Second)
 	close(stop)
 	close(stopPoison)
 	senders.Wait()
-	if n := m.after(third.Add(knownWithin)); n > mostAfter {
-		t.Errorf("a request under which three workers had ended reached workers %d times more, want at most %d", n, mostAfter)
+	if n := m.poisonRunsAfter(third.Add(quarantineWithin)); n > maxPoisonRuns {
+		t.Errorf("a request that crashed three workers reached workers %d more times, want at most %d", n, maxPoisonRuns)
 	}
-	if innocents && failed.Load()*100 > served.Load()+failed.Load() {
+	if checkOthers && failed.Load()*100 > served.Load()+failed.Load() {
 		t.Errorf("%d of %d other requests failed", failed.Load(), served.Load()+failed.Load())
 	}
 }
 
-// restartAll stops all VMs and starts them again under their names.
+// restartAll stops all VMs and restarts them with the same names and addresses.
 func (f *fleet) restartAll() {
 	old := f.vms
 	for _, v := range old {
@@ -165,32 +164,32 @@
 	}
 	f.vms, f.seeds = nil, nil
 	for i, v := range old {
-		f.start(v.name, []string{"north-a", "north-b", "south-a"}[i%3], func(cfg *gateway.Config, _ *door) {
-			ip, _, _ := strings.Cut(v.front, ":")
-			cfg.Ingress, cfg.Ready, cfg.Directory = v.front, ip+":8002", ip+":8002"
+		f.startVM(v.name, []string{"north-a", "north-b", "south-a"}[i%3], func(cfg *gateway.Config, _ *storeClient) {
+			ip, _, _ := strings.Cut(v.ingressAddr, ":")
+			cfg.Ingress, cfg.Ready, cfg.Directory = v.ingressAddr, ip+":8002", ip+":8002"
 			cfg.Peer, cfg.MetricsAddress = ip+":8003", ip+":8004"
 		})
-		f.vms[i].front = v.front
+		f.vms[i].ingressAddr = v.ingressAddr
 	}
 	for _, v := range f.vms {
-		f.until(v.name+" serves again", v.ready)
+		f.waitFor(v.name+" is ready again", v.ready)
 	}
 }
 
-// A VM that nobody sent the request to knows of it too, also while the store is away.
-func TestAllVMsAreToldWhatEndsWorkers(t *testing.T) {
+// Guards against a quarantine not reaching VMs that never saw the request, without the store.
+func TestAllVMsAreToldOfQuarantines(t *testing.T) {
 	f, m := sixVMs(t)
 	for _, v := range f.vms {
-		v.door.set(true, false)
+		v.storeClient.setFailure(true, false)
 	}
-	f.until("three workers have ended", func() bool {
-		f.vms[0].ask(poison)
-		_, ok := m.third()
+	f.waitFor("three workers have crashed", func() bool {
+		f.vms[0].sendRequest(poisonPath)
+		_, ok := m.thirdCrash()
 		return ok
 	})
-	f.within(time.Second, "all know", func() bool {
+	f.waitWithin(time.Second, "all VMs know the quarantine", func() bool {
 		for _, v := range f.vms {
-			if v.Quarantined() != 1 {
+			if v.QuarantineCount() != 1 {
 				return false
 			}
 		}
--- a/internal/gateway/return_test.go
+++ b/internal/gateway/return_test.go
@@ -12,18 +12,17 @@
 	"github.com/ryehill/ryehill/state/worker"
 )
 
-// When all VMs come back at once, one of each hall lists the store and tells the
-// others, which serve soon although their links are small.
+// Guards against all VMs listing the store, or becoming ready slowly, when a fleet restarts.
 func TestAllVMsReturnAtOnce(t *testing.T) {
 	const workers = 800
 	before := make(map[string]gateway.Config)
-	f := startDeep(t, func(cfg *gateway.Config, _ *door) { before[cfg.VM] = *cfg })
+	f := startDeepFleet(t, func(cfg *gateway.Config, _ *storeClient) { before[cfg.VM] = *cfg })
 	for i := range workers {
 		f.store.put(kindWorkers, fmt.Sprintf("i-%05d", i*7919%workers), worker.Worker{
 			Service: "s", Hall: "north-b", Slots: 9, Address: fmt.Sprintf("10.0.%d.%d:8000", i/250, i%250),
 		})
 	}
-	f.settle()
+	f.waitSettled()
 	for _, v := range f.vms {
 		v.stop()
 	}
@@ -31,41 +30,40 @@
 		<-v.done
 	}
 
-	begun := time.Now()
+	start := time.Now()
 	var back []*vm
 	for i, v := range f.vms {
 		hall := []string{"north-a", "north-b"}[i%2]
-		back = append(back, f.start(v.name, hall, func(cfg *gateway.Config, d *door) {
+		back = append(back, f.startVM(v.name, hall, func(cfg *gateway.Config, d *storeClient) {
 			old := before[v.name]
 			cfg.Ingress, cfg.Ready, cfg.Directory = old.Ingress, old.Ready, old.Directory
 			cfg.Peer, cfg.MetricsAddress, cfg.Seeds = old.Peer, old.MetricsAddress, old.Seeds
 			cfg.StaleAfter, cfg.LinkMbps = old.StaleAfter, old.LinkMbps
 			if i/2 >= wideVMs {
-				overSmallLink(&link{})(cfg, d)
+				withSlowLink(&link{})(cfg, d)
 			}
 		}))
 	}
-	// Decoding the workers 36 times takes most of the time: with the race detector on
-	// a busy machine 0.26 s for 200, 0.9 s for 800, 1.9 s for 1,600.
-	made := time.Now()
+	// Decoding the workers on every VM takes most of the time.
+	allStarted := time.Now()
 	for _, v := range back {
-		f.until(v.name+" serves again", v.ready)
+		f.waitFor(v.name+" is ready again", v.ready)
 	}
-	t.Logf("made in %s, all serve %s later", made.Sub(begun), time.Since(made))
-	if took := time.Since(made); took > 2*time.Second {
-		t.Errorf("all serve %s after the last start, want within 2 s", took)
+	t.Logf("started in %s, all ready %s later", allStarted.Sub(start), time.Since(allStarted))
+	if took := time.Since(allStarted); took > 2*time.Second {
+		t.Errorf("all ready %s after the last start, want within 2 s", took)
 	}
-	// One of each hall lists at once, and one more for each 0.25 s that it takes that
-	// one to tell the others: three of each hall with the race detector.
+	// One VM of each hall lists at once, and one more for each 0.25 s until the others
+	// have its state.
 	lists, writes := 0, 0
 	for _, v := range back {
-		lists += v.door.count("list " + kindWorkers)
-		writes += v.door.count("put " + kindMembers)
+		lists += v.storeClient.callCount("list " + kindWorkers)
+		writes += v.storeClient.callCount("put " + kindMembers)
 	}
-	if most := len(back) / 3; lists > most || writes > 0 {
-		t.Errorf("%d lists of the workers and %d entries written by %d VMs, want %d at most, and none", lists, writes, len(back), most)
+	if maxLists := len(back) / 3; lists > maxLists || writes > 0 {
+		t.Errorf("%d lists of the workers and %d entries written by %d VMs, want %d at most, and none", lists, writes, len(back), maxLists)
 	}
 	for _, v := range back {
-		v.stop() // All at once, before each is waited for.
+		v.stop() // Stop all at once; each is waited for later.
 	}
 }
--- a/internal/gateway/rollouts_test.go
+++ b/internal/gateway/rollouts_test.go
@@ -19,38 +19,39 @@
 )
 
 const (
-	// rolloutShare is the part of the requests that a new version may get which is not
-	// proved, and rolloutSlack by how many requests it may pass that.
+	// rolloutShare is the part of the requests that an unproven version may get, and
+	// rolloutSlack the number of requests by which it may exceed that.
 	rolloutShare = 0.1
 	rolloutSlack = 50
-	// rolloutWithin is the time of the orders of these tests.
+	// rolloutWithin is the duration of the rollout orders.
 	rolloutWithin = 8 * time.Second
-	// rollBackWithin is for how long after its 50th bad answer a version may get requests.
-	rollBackWithin = 5 * time.Second
-	badAnswers     = 50
+	// rollbackWithin is how long after badAnswerThreshold bad answers a version may
+	// still get requests.
+	rollbackWithin     = 5 * time.Second
+	badAnswerThreshold = 50
 )
 
-// versionedService is the workers of two versions of service s.
+// versionedService runs the workers of several versions of service s.
 type versionedService struct {
 	f        *fleet
 	mu       sync.Mutex
 	servers  map[rollout.Version][]*httptest.Server
 	arrivals map[rollout.Version][]time.Time
-	bad      []time.Time
-	// fails is the part of the new version's answers that fail.
-	fails float64
+	failures []time.Time
+	// failureRatio is the part of requests that versions above 1 fail.
+	failureRatio float64
 }
 
-// start starts a worker of a version.
+// start starts one worker of a version.
 func (s *versionedService) start(id, hall string, version rollout.Version) {
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		const work = 20 * time.Millisecond
 		time.Sleep(work)
 		s.mu.Lock()
 		s.arrivals[version] = append(s.arrivals[version], time.Now())
-		failed := version > 1 && rand.Float64() < s.fails
+		failed := version > 1 && rand.Float64() < s.failureRatio
 		if failed {
-			s.bad = append(s.bad, time.Now())
+			s.failures = append(s.failures, time.Now())
 		}
 		s.mu.Unlock()
 		if failed {
@@ -68,15 +69,15 @@
 	})
 }
 
-// startAll starts as many workers of a version as there are of any other.
+// startAll starts six workers of a version.
 func (s *versionedService) startAll(version rollout.Version) {
 	for i := range 6 {
 		s.start(fmt.Sprintf("w%d-%d", version, i), []string{"north-a", "north-b", "south-a"}[i%3], version)
 	}
 }
 
-// end ends all workers of a version at once, as the platform does on completion.
-func (s *versionedService) end(version rollout.Version) {
+// stopAll stops all workers of a version at once and removes their entries.
+func (s *versionedService) stopAll(version rollout.Version) {
 	s.mu.Lock()
 	servers := s.servers[version]
 	s.mu.Unlock()
@@ -87,8 +88,8 @@
 	}
 }
 
-// got returns how many requests a version got between two moments.
-func (s *versionedService) got(version rollout.Version, from, to time.Time) int {
+// requestsBetween returns how many requests a version got from from until before to.
+func (s *versionedService) requestsBetween(version rollout.Version, from, to time.Time) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	n := 0
@@ -100,49 +101,49 @@
 	return n
 }
 
-// rolloutFleet starts five VMs before a service whose workers are of version 1.
+// rolloutFleet starts five VMs and the version 1 workers of a service.
 func rolloutFleet(t *testing.T) (*fleet, *versionedService) {
 	f := newFleet(t)
 	s := &versionedService{f: f, servers: make(map[rollout.Version][]*httptest.Server), arrivals: make(map[rollout.Version][]time.Time)}
 	s.startAll(1)
 	for i := range 5 {
-		f.start(fmt.Sprintf("v%d", i), []string{"north-a", "north-b", "south-a"}[i%3], func(c *gateway.Config, _ *door) {
+		f.startVM(fmt.Sprintf("v%d", i), []string{"north-a", "north-b", "south-a"}[i%3], func(c *gateway.Config, _ *storeClient) {
 			c.Bounds.RolloutShare = rolloutShare
 		})
 	}
 	for _, v := range f.vms {
-		f.until(v.name+" serves", v.Ready)
-		f.until(v.name+" knows all", func() bool { return v.Peers() == len(f.vms) })
+		f.waitFor(v.name+" serves", v.Ready)
+		f.waitFor(v.name+" knows all VMs", func() bool { return v.LiveVMCount() == len(f.vms) })
 	}
 	return f, s
 }
 
-// order orders version 2, and returns when.
-func (f *fleet) order() time.Time {
+// putRolloutOrder orders version 2 and returns the time of the order.
+func (f *fleet) putRolloutOrder() time.Time {
 	f.store.put(kindRollouts, "s", rollout.Order{Service: "s", Version: 2, Name: "v2", Duration: rolloutWithin})
 	return time.Now()
 }
 
-// ordered returns the order as the store has it.
-func (f *fleet) ordered() rollout.Order {
+// storedOrder returns the rollout order in the store.
+func (f *fleet) storedOrder() rollout.Order {
 	o, _ := codec{}.Rollout(f.store.get(kindRollouts, "s"))
 	return o
 }
 
-// untilPhase waits until the store has an order in a phase, and returns when it had.
-func (f *fleet) untilPhase(p rollout.Phase) time.Time {
+// waitForPhase waits until the stored order has a phase and returns the time.
+func (f *fleet) waitForPhase(p rollout.Phase) time.Time {
 	f.t.Helper()
-	f.until("the order is "+p.String(), func() bool { return f.ordered().Phase == p })
+	f.waitFor("the order is "+p.String(), func() bool { return f.storedOrder().Phase == p })
 	return time.Now()
 }
 
 func TestGoodVersionIsCompleted(t *testing.T) {
 	cases := map[string]func(f *fleet){
-		"calm": func(*fleet) {},
-		"the VM that decides ends": func(f *fleet) {
+		"no disturbance": func(*fleet) {},
+		"the controller stops": func(f *fleet) {
 			time.Sleep(2 * time.Second)
 			for i, v := range f.vms {
-				if v.Controls() {
+				if v.IsController() {
 					v.stop()
 					<-v.done
 					f.vms = append(f.vms[:i:i], f.vms[i+1:]...)
@@ -150,39 +151,39 @@
 				}
 			}
 		},
-		"the store is away for a while": func(f *fleet) {
+		"store outage": func(f *fleet) {
 			time.Sleep(time.Second)
-			f.shutStore(true)
+			f.setStoreUnavailable(true)
 			time.Sleep(3 * time.Second)
-			f.shutStore(false)
+			f.setStoreUnavailable(false)
 		},
 	}
-	for name, meanwhile := range cases {
+	for name, disturb := range cases {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			f, s := rolloutFleet(t)
 			s.startAll(2)
-			begun := time.Now()
-			f.loadFor(4*time.Millisecond, time.Second)
-			if n := s.got(2, begun, time.Now()); n > 0 {
-				t.Errorf("%d requests reached a version that nobody has ordered", n)
+			start := time.Now()
+			f.generateLoadFor(4*time.Millisecond, time.Second)
+			if n := s.requestsBetween(2, start, time.Now()); n > 0 {
+				t.Errorf("%d requests reached a version without an order", n)
 			}
-			ordered := f.order()
-			stop, ended := make(chan struct{}), make(chan *answers)
+			ordered := f.putRolloutOrder()
+			stop, ended := make(chan struct{}), make(chan *outcomes)
 			load := *f
 			load.vms = append([]*vm(nil), f.vms...)
-			if name == "the VM that decides ends" { // Its own clients would have left it.
+			if name == "the controller stops" { // Clients don't use the VM that stops.
 				load.vms = nil
 				for _, v := range f.vms {
-					if !v.Controls() {
+					if !v.IsController() {
 						load.vms = append(load.vms, v)
 					}
 				}
 			}
-			go func() { ended <- load.load(4*time.Millisecond, stop) }()
-			meanwhile(f)
-			done := f.untilPhase(rollout.PhaseCompleted)
-			s.end(1)
+			go func() { ended <- load.generateLoad(4*time.Millisecond, stop) }()
+			disturb(f)
+			done := f.waitForPhase(rollout.PhaseCompleted)
+			s.stopAll(1)
 			time.Sleep(time.Second)
 			close(stop)
 			served, lost := (<-ended).counts()
@@ -192,8 +193,8 @@
 			if lost > 0 {
 				t.Errorf("%d of %d requests were lost", lost, served+lost)
 			}
-			if n := s.got(2, done, time.Now()); n == 0 {
-				t.Error("the new version gets nothing")
+			if n := s.requestsBetween(2, done, time.Now()); n == 0 {
+				t.Error("the new version gets no requests")
 			}
 		})
 	}
@@ -201,16 +202,16 @@
 
 func TestBadVersionIsRolledBack(t *testing.T) {
 	cases := map[string]func(f *fleet, s *versionedService){
-		"at once": func(_ *fleet, s *versionedService) { s.fail(0.4) },
+		"at once": func(_ *fleet, s *versionedService) { s.setFailureRatio(0.4) },
 		"later": func(_ *fleet, s *versionedService) {
 			time.Sleep(3 * time.Second)
-			s.fail(0.4)
+			s.setFailureRatio(0.4)
 		},
-		"with the store away": func(f *fleet, s *versionedService) {
+		"during a store outage": func(f *fleet, s *versionedService) {
 			time.Sleep(1500 * time.Millisecond)
-			f.shutStore(true)
-			s.fail(0.6)
-			time.AfterFunc(rolloutWithin, func() { f.shutStore(false) })
+			f.setStoreUnavailable(true)
+			s.setFailureRatio(0.6)
+			time.AfterFunc(rolloutWithin, func() { f.setStoreUnavailable(false) })
 		},
 	}
 	for name, turnBad := range cases {
@@ -218,38 +219,38 @@
 			t.Parallel()
 			f, s := rolloutFleet(t)
 			s.startAll(2)
-			stop, ended := make(chan struct{}), make(chan *answers)
-			go func() { ended <- f.load(4*time.Millisecond, stop) }()
-			ordered := f.order()
+			stop, ended := make(chan struct{}), make(chan *outcomes)
+			go func() { ended <- f.generateLoad(4*time.Millisecond, stop) }()
+			ordered := f.putRolloutOrder()
 			turnBad(f, s)
-			f.untilPhase(rollout.PhaseRolledBack)
+			f.waitForPhase(rollout.PhaseRolledBack)
 			last := time.Now()
 			time.Sleep(500 * time.Millisecond)
 			close(stop)
 			<-ended
 			due := ordered.Add(rolloutWithin)
-			all := s.got(1, ordered, due) + s.got(2, ordered, due)
-			if n := s.got(2, ordered, due); float64(n) > rolloutShare*float64(all)+rolloutSlack {
-				t.Errorf("a bad version got %d of %d requests", n, all)
+			all := s.requestsBetween(1, ordered, due) + s.requestsBetween(2, ordered, due)
+			if n := s.requestsBetween(2, ordered, due); float64(n) > rolloutShare*float64(all)+rolloutSlack {
+				t.Errorf("a failing version got %d of %d requests", n, all)
 			}
 			s.mu.Lock()
-			bad := s.bad
+			bad := s.failures
 			s.mu.Unlock()
-			if len(bad) >= badAnswers {
-				if n := s.got(2, bad[badAnswers-1].Add(rollBackWithin), time.Now()); n > 0 {
-					t.Errorf("%d requests over %s after the 50th bad answer", n, rollBackWithin)
+			if len(bad) >= badAnswerThreshold {
+				if n := s.requestsBetween(2, bad[badAnswerThreshold-1].Add(rollbackWithin), time.Now()); n > 0 {
+					t.Errorf("%d requests over %s after the 50th bad answer", n, rollbackWithin)
 				}
 			}
-			if n := s.got(2, last.Add(100*time.Millisecond), time.Now()); n > 0 {
+			if n := s.requestsBetween(2, last.Add(100*time.Millisecond), time.Now()); n > 0 {
 				t.Errorf("%d requests after the roll-back", n)
 			}
 		})
 	}
 }
 
-// fail makes a part of the new version's answers fail from now on.
-func (s *versionedService) fail(part float64) {
+// setFailureRatio makes a part of the requests to versions above 1 fail from now on.
+func (s *versionedService) setFailureRatio(ratio float64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.fails = part
+	s.failureRatio = ratio
 }
--- a/internal/gateway/signal_workers_test.go
+++ b/internal/gateway/signal_workers_test.go
@@ -17,36 +17,36 @@
 	"github.com/ryehill/ryehill/state/worker"
 )
 
-// signalArrival is a request at a signalWorker.
+// signalArrival records one request at a signalWorker.
 type signalArrival struct {
 	vm string
-	// sent is when the client sent it, at when it arrived, answered when its answer was
-	// given.
+	// sent is when the client sent the request, at when it arrived, and answered when
+	// the worker answered it.
 	sent, at, answered time.Time
-	// leaving is whether the answer said that the worker leaves, rest the rest that it
-	// asked for, 0 for none.
+	// leaving is whether the answer announced that the worker is leaving, and rest the
+	// rest that it asked for, 0 for none.
 	leaving bool
 	rest    time.Duration
-	// limit is the rate that the answer named, below 0 if it named none.
+	// limit is the rate limit in the answer, below 0 for none.
 	limit float64
 }
 
-// signalWorker is a worker that says of itself in its answers that it leaves, or that it
-// wants rest, and serves on.
+// signalWorker is a worker whose answers announce that it is leaving, ask for rest or name a
+// rate limit, while it keeps serving.
 type signalWorker struct {
 	id      string
 	address string
 
-	mu       sync.Mutex
-	leaving  bool
-	rests    []time.Duration // asked for by chance while there are any
-	away     float64         // the part of the requests that it turns away meanwhile
-	limit    float64         // the rate that it names, below 0 for none
-	arrivals []signalArrival
+	mu          sync.Mutex
+	leaving     bool
+	rests       []time.Duration // rests to ask for at random; none if empty
+	rejectRatio float64         // the part of requests rejected while rests isn't empty
+	limit       float64         // the rate limit in answers, below 0 for none
+	arrivals    []signalArrival
 }
 
-// signalWorker starts a worker of service s.
-func (f *fleet) signalWorker(id, hall string) *signalWorker {
+// startSignalWorker starts a signalWorker of service s.
+func (f *fleet) startSignalWorker(id, hall string) *signalWorker {
 	m := &signalWorker{id: id, limit: -1}
 	s := httptest.NewServer(m)
 	f.t.Cleanup(s.Close)
@@ -59,15 +59,15 @@
 	return worker.Worker{Service: "s", Hall: hall, Slots: 4, Address: m.address, Start: start}
 }
 
-// ServeHTTP implements http.Handler. The query says which VM has sent the request, and
-// when its client did.
+// ServeHTTP implements http.Handler. The query parameters vm and sent hold the VM that the
+// request was sent to and the time of sending in nanoseconds.
 func (m *signalWorker) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	const work = 5 * time.Millisecond
 	sent, _ := strconv.ParseInt(r.URL.Query().Get("sent"), 10, 64)
 	a := signalArrival{vm: r.URL.Query().Get("vm"), sent: time.Unix(0, sent), at: time.Now()}
 	m.mu.Lock()
 	a.leaving, a.limit = m.leaving, m.limit
-	if len(m.rests) > 0 && rand.Float64() < m.away {
+	if len(m.rests) > 0 && rand.Float64() < m.rejectRatio {
 		a.rest = m.rests[rand.IntN(len(m.rests))]
 	}
 	m.mu.Unlock()
@@ -91,41 +91,41 @@
 	m.arrivals = append(m.arrivals, a)
 }
 
-// leave makes the worker say in all answers from now on that it leaves, or that it does not.
-func (m *signalWorker) leave(leaving bool) {
+// setLeaving sets whether answers announce that the worker is leaving.
+func (m *signalWorker) setLeaving(leaving bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.leaving = leaving
 }
 
-// tire makes the worker turn away a part of its requests with rests.
-func (m *signalWorker) tire(away float64, rests ...time.Duration) {
+// setRests makes the worker reject a part of its requests and ask for one of rests at random.
+func (m *signalWorker) setRests(rejectRatio float64, rests ...time.Duration) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.away, m.rests = away, rests
+	m.rejectRatio, m.rests = rejectRatio, rests
 }
 
-// afterLeaving returns how many requests clients sent to a VM later than a bound after the
-// VM had the worker's word that it leaves, and that reached the worker all the same.
-func (m *signalWorker) afterLeaving(bound time.Duration) int {
+// requestsAfterLeaving returns how many requests reached the worker that clients sent more
+// than bound after the VM first got an answer announcing that the worker is leaving.
+func (m *signalWorker) requestsAfterLeaving(bound time.Duration) int {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	told, n := make(map[string]time.Time), 0
+	leavingSince, n := make(map[string]time.Time), 0
 	for _, a := range m.arrivals {
-		if at, ok := told[a.vm]; a.leaving && (!ok || a.answered.Before(at)) {
-			told[a.vm] = a.answered
+		if at, ok := leavingSince[a.vm]; a.leaving && (!ok || a.answered.Before(at)) {
+			leavingSince[a.vm] = a.answered
 		}
 	}
 	for _, a := range m.arrivals {
-		if at, ok := told[a.vm]; ok && a.sent.After(at.Add(bound)) {
+		if at, ok := leavingSince[a.vm]; ok && a.sent.After(at.Add(bound)) {
 			n++
 		}
 	}
 	return n
 }
 
-// since returns how many requests have arrived after a moment.
-func (m *signalWorker) since(at time.Time) int {
+// arrivalsAfter returns how many requests arrived after the given time.
+func (m *signalWorker) arrivalsAfter(at time.Time) int {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	n := 0
@@ -138,15 +138,14 @@
 }
 
 const (
-	// restUnderWay is for how long after it has asked for rest a worker may get requests
-	// that were under way; restMost is how many it may get after that until the end.
-	restUnderWay = 500 * time.Millisecond
-	restMost     = 2
+	// restInFlightGrace is the time after asking for rest in which requests in flight may
+	// still arrive; maxDuringRest is how many may arrive in the remainder of the rest.
+	restInFlightGrace = 500 * time.Millisecond
+	maxDuringRest     = 2
 )
 
-// brokenRests returns how many rests the worker has asked for, and how many of them a VM
-// did not grant.
-func (m *signalWorker) brokenRests() (asked, broken int) {
+// restCounts returns how many rests the worker asked for and how many of them VMs violated.
+func (m *signalWorker) restCounts() (asked, violated int) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	for _, a := range m.arrivals {
@@ -156,43 +155,44 @@
 		asked++
 		n := 0
 		for _, b := range m.arrivals {
-			if b.vm == a.vm && b.at.After(a.answered.Add(restUnderWay)) && b.at.Before(a.answered.Add(a.rest)) {
+			if b.vm == a.vm && b.at.After(a.answered.Add(restInFlightGrace)) && b.at.Before(a.answered.Add(a.rest)) {
 				n++
 			}
 		}
-		if n > restMost {
-			broken++
+		if n > maxDuringRest {
+			violated++
 		}
 	}
-	return asked, broken
+	return asked, violated
 }
 
-// signalFleet starts VMs and workers of one region and waits until the VMs know each other.
-func signalFleet(t *testing.T, vms, workers int) (*fleet, []*signalWorker) {
+// startSignalFleet starts VMs and signalWorkers of one region and waits until the VMs resolve
+// each other.
+func startSignalFleet(t *testing.T, vms, workers int) (*fleet, []*signalWorker) {
 	f := newFleet(t)
-	f.repeatableConfig()
+	f.putRetryableConfig()
 	var list []*signalWorker
 	for i := range workers {
-		list = append(list, f.signalWorker(fmt.Sprintf("w%d", i), []string{"north-a", "north-b"}[i%2]))
+		list = append(list, f.startSignalWorker(fmt.Sprintf("w%d", i), []string{"north-a", "north-b"}[i%2]))
 	}
 	for i := range vms {
-		f.start(fmt.Sprintf("v%d", i), []string{"north-a", "north-b"}[i%2], nil)
+		f.startVM(fmt.Sprintf("v%d", i), []string{"north-a", "north-b"}[i%2], nil)
 	}
 	for _, v := range f.vms {
-		f.until(v.name+" knows all", func() bool { return len(f.addresses(v, "north")) == vms })
+		f.waitFor(v.name+" knows all VMs", func() bool { return len(f.resolvedAddresses(v, "north")) == vms })
 	}
 	return f, list
 }
 
-// answers counts how requests ended.
-type answers struct {
+// outcomes counts requests by outcome. It is safe for concurrent use.
+type outcomes struct {
 	mu     sync.Mutex
 	served int
 	lost   int
 }
 
-// count notes one end.
-func (a *answers) count(status int) {
+// record counts a request by its status.
+func (a *outcomes) record(status int) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if status == http.StatusOK {
@@ -202,18 +202,18 @@
 	a.lost++
 }
 
-// counts returns how many requests were served, and how many were not.
-func (a *answers) counts() (served, lost int) {
+// counts returns how many requests were served and how many were lost.
+func (a *outcomes) counts() (served, lost int) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.served, a.lost
 }
 
-// load sends requests to VMs by chance until stop is closed, and returns once all have ended.
-func (f *fleet) load(every time.Duration, stop <-chan struct{}) *answers {
-	var a answers
-	var open sync.WaitGroup
-	defer open.Wait()
+// generateLoad sends requests to random VMs until stop is closed, then waits for them to end.
+func (f *fleet) generateLoad(every time.Duration, stop <-chan struct{}) *outcomes {
+	var a outcomes
+	var pending sync.WaitGroup
+	defer pending.Wait()
 	for {
 		select {
 		case <-stop:
@@ -221,16 +221,16 @@
 		case <-time.After(every):
 		}
 		v := f.vms[rand.IntN(len(f.vms))]
-		open.Go(func() {
-			status, _ := v.ask(fmt.Sprintf("/?vm=%s&sent=%d", v.name, time.Now().UnixNano()))
-			a.count(status)
+		pending.Go(func() {
+			status, _ := v.sendRequest(fmt.Sprintf("/?vm=%s&sent=%d", v.name, time.Now().UnixNano()))
+			a.record(status)
 		})
 	}
 }
 
-// loadFor does the same for a time.
-func (f *fleet) loadFor(every, span time.Duration) {
+// generateLoadFor is generateLoad for a fixed time.
+func (f *fleet) generateLoadFor(every, span time.Duration) {
 	stop := make(chan struct{})
 	time.AfterFunc(span, func() { close(stop) })
-	f.load(every, stop)
+	f.generateLoad(every, stop)
 }
--- a/internal/gateway/slowlink_test.go
+++ b/internal/gateway/slowlink_test.go
@@ -16,36 +16,36 @@
 	"github.com/ryehill/ryehill/state/worker"
 )
 
-// smallLink is 10 Mbit/s, in bytes a second.
-const smallLink = 1_250_000
+// slowLinkRate is 10 Mbit/s in bytes per second.
+const slowLinkRate = 1_250_000
 
-// link is a VM's way out: whatever is sent waits for all that was sent before.
+// link simulates a VM's uplink: each send waits for all earlier ones.
 type link struct {
-	mu   sync.Mutex
-	free time.Time
-	sent int
+	mu     sync.Mutex
+	freeAt time.Time
+	sent   int
 }
 
-// reserve queues some bytes and returns how long they take to leave.
+// reserve queues bytes and returns the time until they are sent.
 func (l *link) reserve(bytes int) time.Duration {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	now := time.Now()
-	if l.free.Before(now) {
-		l.free = now
+	if l.freeAt.Before(now) {
+		l.freeAt = now
 	}
-	l.free = l.free.Add(time.Duration(bytes) * time.Second / smallLink)
+	l.freeAt = l.freeAt.Add(time.Duration(bytes) * time.Second / slowLinkRate)
 	l.sent += bytes
-	return l.free.Sub(now)
+	return l.freeAt.Sub(now)
 }
 
-func (l *link) bytes() int {
+func (l *link) sentBytes() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.sent
 }
 
-// slowListener accepts connections that send over a link.
+// slowListener accepts connections that send over a simulated link.
 type slowListener struct {
 	net.Listener
 	link *link
@@ -69,10 +69,9 @@
 	return c.Conn.Write(b)
 }
 
-// overSmallLink gives a VM a small link, for its answers to peers and for its
-// calls to the store.
-func overSmallLink(l *link) func(*gateway.Config, *door) {
-	return func(cfg *gateway.Config, d *door) {
+// withSlowLink makes a VM's peer connections and store calls send over a simulated link.
+func withSlowLink(l *link) func(*gateway.Config, *storeClient) {
+	return func(cfg *gateway.Config, d *storeClient) {
 		d.link = l
 		cfg.Listen = func(address string) (net.Listener, error) {
 			inner, err := net.Listen("tcp", address)
@@ -88,9 +87,7 @@
 	}
 }
 
-// When the store drops its history, the VMs of a region must not fill their
-// links by telling each other what they know already: the next change would
-// wait behind it.
+// Guards against VMs saturating their links with known state after the store drops its history.
 func TestRegionKeepsUpWhenHistoryIsDropped(t *testing.T) {
 	const vmCount, workerCount, entryBytes = 12, 600, 600
 	f := newFleet(t)
@@ -102,7 +99,7 @@
 	links := make([]*link, vmCount)
 	for i := range links {
 		links[i] = &link{}
-		f.start(fmt.Sprintf("v%d", i), "north-a", overSmallLink(links[i]))
+		f.startVM(fmt.Sprintf("v%d", i), "north-a", withSlowLink(links[i]))
 	}
 	inForce := func(version uint64) func() bool {
 		return func() bool {
@@ -114,22 +111,22 @@
 			return true
 		}
 	}
-	f.until("all VMs serve", inForce(1))
-	time.Sleep(4 * time.Second) // The start is over, for the links as well.
+	f.waitFor("all VMs have the configuration", inForce(1))
+	time.Sleep(4 * time.Second) // Wait until startup traffic is over.
 	before := make([]int, vmCount)
 	for i, l := range links {
-		before[i] = l.bytes()
+		before[i] = l.sentBytes()
 	}
 
-	// The second time comes while whatever the first one caused is under way.
-	f.store.dropHistory(func() { f.config(2, "s") })
+	// The second drop comes while the traffic caused by the first is in flight.
+	f.store.dropHistory(func() { f.putConfig(2, "s") })
 	time.Sleep(time.Second)
-	f.store.dropHistory(func() { f.config(3, "s") })
-	f.within(applyWithin, "a change made while history was dropped", inForce(3))
+	f.store.dropHistory(func() { f.putConfig(3, "s") })
+	f.waitWithin(applyWithin, "a change made while history was dropped", inForce(3))
 
 	time.Sleep(time.Second)
 	for i, l := range links {
-		if sent := l.bytes() - before[i]; sent > workerCount*entryBytes {
+		if sent := l.sentBytes() - before[i]; sent > workerCount*entryBytes {
 			t.Errorf("%s sent %d bytes, more than one copy of all workers", f.vms[i].name, sent)
 		}
 	}
--- a/internal/gateway/stop_test.go
+++ b/internal/gateway/stop_test.go
@@ -14,10 +14,8 @@
 	"github.com/ryehill/ryehill/state/spec"
 )
 
-// A VM that leaves tells no more others in a large fleet than in one of 64, and all of a
-// small one. Told at once, 984 kept a VM with 0.16 of a core busy for two seconds, in which
-// requests that it had read were cut off.
-func TestVMThatLeavesTellsFew(t *testing.T) {
+// Guards against a stopping VM notifying so many peers that it can't finish its requests.
+func TestLeavingVMNotifiesBoundedPeers(t *testing.T) {
 	regions := map[string]string{"a1": "a", "a2": "a", "b1": "b"}
 	members := func(n int) (list []membership.Member) {
 		for i := range n {
@@ -26,12 +24,12 @@
 		}
 		return list
 	}
-	Convey("Of a small fleet all are told", t, func() {
-		So(gateway.TellsLeaving(members(11), "a1", regions), ShouldHaveLength, 11)
+	Convey("In a small fleet all VMs are notified", t, func() {
+		So(gateway.LeavingRecipients(members(11), "a1", regions), ShouldHaveLength, 11)
 	})
-	Convey("Of a large one a bounded number, those of its hall first, then of its region", t, func() {
+	Convey("In a large fleet a bounded number is notified, those of the same hall first, then of the region", t, func() {
 		for _, n := range []int{90, 985, 1970} {
-			told := gateway.TellsLeaving(members(n), "a1", regions)
+			told := gateway.LeavingRecipients(members(n), "a1", regions)
 			So(told, ShouldHaveLength, 64)
 			for i, m := range told {
 				if i < min(n/3, 64) {
@@ -42,9 +40,9 @@
 			}
 		}
 	})
-	Convey("Those that are gone or leave themselves are not told", t, func() {
+	Convey("VMs that are gone or leaving are not notified", t, func() {
 		list := members(4)
 		list[1].State, list[2].State = membership.StateGone, membership.StateLeaving
-		So(gateway.TellsLeaving(list, "a1", regions), ShouldHaveLength, 2)
+		So(gateway.LeavingRecipients(list, "a1", regions), ShouldHaveLength, 2)
 	})
 }
--- a/internal/gateway/teller_test.go
+++ b/internal/gateway/teller_test.go
@@ -13,40 +13,38 @@
 	"github.com/ryehill/ryehill/state/object"
 )
 
-// An asker takes what it is told to be as new as its question, the time that it
-// was held and the age say. What passes while the answer is made, or while its VM
-// stands still just then, must not make knowledge younger than it is.
+// Guards against counting the time to build an answer as hold time, which understates its age.
 func TestTimeSpentOnAnAnswerIsNotHeld(t *testing.T) {
 	f := newFleet(t)
-	v := f.start("a", "north-a", nil)
-	f.until("it serves", v.ready)
+	v := f.startVM("a", "north-a", nil)
+	f.waitFor("the VM is ready", v.ready)
 	const objects = 60_000
-	at := f.store.atRevision() + 1_000_000
+	at := f.store.currentRevision() + 1_000_000
 	events := make([]object.Event, objects)
 	for i := range events {
 		events[i].Name, events[i].Revision = fmt.Sprintf("c%d", i), at
 	}
-	v.Hear(object.Delta{Kind: kindTraffic, Full: true, At: at, Events: events})
+	v.MergeDelta(object.Delta{Kind: kindTraffic, Full: true, At: at, Events: events})
 	for range 100 {
 		confirmed := v.Confirmed(kindConfig)
-		begun := time.Now()
-		answer := v.Tell(context.Background(), &peerpb.Sync{})
-		took := time.Since(begun)
+		start := time.Now()
+		answer := v.AnswerSync(context.Background(), &peerpb.Sync{})
+		took := time.Since(start)
 		if v.Confirmed(kindConfig) != confirmed {
-			continue // The store confirmed it anew meanwhile.
+			continue // The store confirmed the state in the meantime.
 		}
 		if took < 5*time.Millisecond {
-			t.Fatalf("the answer took only %s, too little to tell", took)
+			t.Fatalf("the answer took only %s, too little for the check", took)
 		}
 		held := time.Duration(answer.GetHeldMillis()) * time.Millisecond
 		age := time.Duration(answer.GetAgeMillis()[kindConfig]) * time.Millisecond
-		// A stop before the VM looks at what it knows counts in both.
-		if taken := begun.Add(held - age); taken.After(confirmed.Add(time.Millisecond)) {
-			t.Errorf("what was confirmed %s before the question is taken to be %s younger than it is: held %s, age %s, took %s",
-				begun.Sub(confirmed), taken.Sub(confirmed), held, age, took)
+		// A pause before the VM reads its state counts in both held and age.
+		if taken := start.Add(held - age); taken.After(confirmed.Add(time.Millisecond)) {
+			t.Errorf("state confirmed %s before the request appears %s younger than it is: held %s, age %s, took %s",
+				start.Sub(confirmed), taken.Sub(confirmed), held, age, took)
 		}
 		t.Logf("held %s, age %s, took %s", held, age, took)
 		return
 	}
-	t.Fatal("the store confirmed what is known during each of 100 answers")
+	t.Fatal("the store confirmed the state during each of 100 answers")
 }
--- a/internal/gateway/versions_test.go
+++ b/internal/gateway/versions_test.go
@@ -27,29 +27,29 @@
 		workers map[rollout.Version]int
 		order   rollout.Version
 		phase   rollout.Phase
-		// stable and brought are how many workers of each track are used.
-		stable, brought int
+		// stable and candidates are the numbers of workers of each track in use.
+		stable, candidates int
 	}{
-		"one version":                       {workers: map[rollout.Version]int{1: 5}, stable: 5},
-		"a new one that nobody has ordered": {workers: map[rollout.Version]int{1: 5, 2: 5}, stable: 5},
-		"an entry of another writer":        {workers: map[rollout.Version]int{2: 5, 1: 1}, stable: 5},
-		"a new one that was ordered":        {workers: map[rollout.Version]int{1: 5, 2: 6}, order: 2, stable: 5, brought: 6},
-		"a third one":                       {workers: map[rollout.Version]int{1: 5, 2: 6, 3: 9}, order: 2, stable: 9, brought: 6},
-		"one that was rolled back":          {workers: map[rollout.Version]int{1: 5, 2: 6}, order: 2, phase: rollout.PhaseRolledBack, stable: 5},
-		"one that was completed":            {workers: map[rollout.Version]int{1: 5, 2: 6}, order: 2, phase: rollout.PhaseCompleted, stable: 6},
-		"no old one is left":                {workers: map[rollout.Version]int{2: 6}, order: 2, phase: rollout.PhaseTrial, brought: 6},
+		"one version":                    {workers: map[rollout.Version]int{1: 5}, stable: 5},
+		"a new version without an order": {workers: map[rollout.Version]int{1: 5, 2: 5}, stable: 5},
+		"one entry of a lower version":   {workers: map[rollout.Version]int{2: 5, 1: 1}, stable: 5},
+		"a new version with an order":    {workers: map[rollout.Version]int{1: 5, 2: 6}, order: 2, stable: 5, candidates: 6},
+		"a third version":                {workers: map[rollout.Version]int{1: 5, 2: 6, 3: 9}, order: 2, stable: 9, candidates: 6},
+		"a rolled back version":          {workers: map[rollout.Version]int{1: 5, 2: 6}, order: 2, phase: rollout.PhaseRolledBack, stable: 5},
+		"a completed version":            {workers: map[rollout.Version]int{1: 5, 2: 6}, order: 2, phase: rollout.PhaseCompleted, stable: 6},
+		"no old version is left":         {workers: map[rollout.Version]int{2: 6}, order: 2, phase: rollout.PhaseTrial, candidates: 6},
 	}
 	for name, c := range cases {
 		Convey(name, t, func() {
-			stable, brought := gateway.Divided(workers(c.workers), "s", c.order, c.phase)
+			stable, candidates := gateway.CountVersionsInUse(workers(c.workers), "s", c.order, c.phase)
 			So(stable, ShouldEqual, c.stable)
-			So(brought, ShouldEqual, c.brought)
+			So(candidates, ShouldEqual, c.candidates)
 		})
 	}
-	Convey("The version that was in use stays so when more of another are there", t, func() {
+	Convey("The stable version stays stable when another one has more workers", t, func() {
 		v := gateway.NewVersions()
-		So(v.Stable(workers(map[rollout.Version]int{1: 5})), ShouldEqual, 5)
-		So(v.Stable(workers(map[rollout.Version]int{1: 2, 2: 9})), ShouldEqual, 2)
-		So(v.Stable(workers(map[rollout.Version]int{2: 9})), ShouldEqual, 9)
+		So(v.StableCount(workers(map[rollout.Version]int{1: 5})), ShouldEqual, 5)
+		So(v.StableCount(workers(map[rollout.Version]int{1: 2, 2: 9})), ShouldEqual, 2)
+		So(v.StableCount(workers(map[rollout.Version]int{2: 9})), ShouldEqual, 9)
 	})
 }
--- a/internal/gateway/watchers_test.go
+++ b/internal/gateway/watchers_test.go
@@ -11,60 +11,59 @@
 	"github.com/ryehill/ryehill/internal/gateway"
 )
 
-// patientAge is the age at which VMs of the tests below call the store themselves;
-// a watch is held for half of it.
-const patientAge = 3200 * time.Millisecond
+// longStaleAfter is the age of state at which VMs of these tests call the store; a watch is
+// held for half of it.
+const longStaleAfter = 3200 * time.Millisecond
 
-func withPatientAge(cfg *gateway.Config, _ *door) { cfg.StaleAfter = patientAge }
+func withLongStaleAfter(cfg *gateway.Config, _ *storeClient) { cfg.StaleAfter = longStaleAfter }
 
-// patientVMs starts some VMs of one region that know each other.
-func patientVMs(t *testing.T, n int) (*fleet, []*vm) {
+// startLongStaleVMs starts n VMs of one region and waits until they resolve each other.
+func startLongStaleVMs(t *testing.T, n int) (*fleet, []*vm) {
 	f := newFleet(t)
-	f.worker("w1", "s", "north-a")
+	f.startWorker("w1", "s", "north-a")
 	vms := make([]*vm, n)
 	for i := range vms {
-		vms[i] = f.start(fmt.Sprintf("v%d", i), "north-a", withPatientAge)
+		vms[i] = f.startVM(fmt.Sprintf("v%d", i), "north-a", withLongStaleAfter)
 	}
 	for _, v := range vms {
-		f.until(v.name+" knows all", func() bool { return len(f.addresses(v, "north")) == n })
+		f.waitFor(v.name+" knows all VMs", func() bool { return len(f.resolvedAddresses(v, "north")) == n })
 	}
 	return f, vms
 }
 
-// oldest returns the greatest age of what some VMs believe in a span of time.
-func oldest(span time.Duration, vms ...*vm) time.Duration {
+// maxStateAge returns the highest state age of the VMs during span.
+func maxStateAge(span time.Duration, vms ...*vm) time.Duration {
 	oldest := time.Duration(0)
 	for deadline := time.Now().Add(span); time.Now().Before(deadline); time.Sleep(10 * time.Millisecond) {
 		for _, v := range vms {
-			oldest = max(oldest, v.Age())
+			oldest = max(oldest, v.StateAge())
 		}
 	}
 	return oldest
 }
 
-// A watcher that the store does not answer is passed over for another VM, before
-// all VMs of the region call the store themselves.
+// Guards against the whole region calling the store when the watcher loses access to it.
 func TestWatcherWithoutStoreIsPassedOver(t *testing.T) {
 	cases := map[string]struct{ shut, silent bool }{
-		"its store is silent": {silent: true},
-		"its store refuses":   {shut: true},
+		"its store calls hang": {silent: true},
+		"its store calls fail": {shut: true},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			_, vms := patientVMs(t, 5)
-			watcher, others := watcherIn(t, 2*patientAge, vms)
+			_, vms := startLongStaleVMs(t, 5)
+			watcher, others := watcherDuring(t, 2*longStaleAfter, vms)
 			before := make(map[string]int)
 			for _, v := range others {
-				before[v.name] = v.door.count("watch " + kindConfig)
+				before[v.name] = v.storeClient.callCount("watch " + kindConfig)
 			}
-			watcher.door.set(c.shut, c.silent)
-			if age := oldest(8*time.Second, vms...); age >= patientAge {
-				t.Errorf("a VM rested on knowledge %s old", age)
+			watcher.storeClient.setFailure(c.shut, c.silent)
+			if age := maxStateAge(8*time.Second, vms...); age >= longStaleAfter {
+				t.Errorf("a VM used state that was %s old", age)
 			}
 			callers := 0
 			for _, v := range others {
-				if v.door.count("watch "+kindConfig) > before[v.name] {
+				if v.storeClient.callCount("watch "+kindConfig) > before[v.name] {
 					callers++
 				}
 			}
@@ -75,16 +74,15 @@
 	}
 }
 
-// The first watch after failures, or of a new watcher, is not held: nothing shows
-// that the replica is complete before it ends.
+// Guards against holding the first watch after failures, which would leave the state stale.
 func TestWatchIsHeldForLessByWhatIsOld(t *testing.T) {
 	f := newFleet(t)
-	f.worker("w1", "s", "north-a")
-	v := f.start("a", "north-a", withPatientAge)
-	f.until("it serves", v.ready)
-	v.door.set(true, false)
-	f.until("its knowledge is old", func() bool { return v.Age() > patientAge })
-	v.door.set(false, false)
-	// The wait between two calls that fail is 0.6 s at most.
-	f.within(900*time.Millisecond, "its knowledge is young", func() bool { return v.Age() < patientAge/2 })
+	f.startWorker("w1", "s", "north-a")
+	v := f.startVM("a", "north-a", withLongStaleAfter)
+	f.waitFor("the VM is ready", v.ready)
+	v.storeClient.setFailure(true, false)
+	f.waitFor("the VM's state is stale", func() bool { return v.StateAge() > longStaleAfter })
+	v.storeClient.setFailure(false, false)
+	// The wait between two failing calls is at most 0.6 s.
+	f.waitWithin(900*time.Millisecond, "the VM's state is fresh", func() bool { return v.StateAge() < longStaleAfter/2 })
 }
--- a/scripts/switch-off.sh
+++ b/scripts/switch-off.sh
@@ -51,7 +51,7 @@
 off moves-steer coordination/placement/steer.go 'if c.Rule() != steer.RuleMove || !c.Spend() {' 'if true {' ./internal/gateway TestDrainOfAHall
 off write-known-again internal/gateway/traffic.go 'case err == nil && by == operation && at > 0:' 'case false && by == operation:' ./internal/gateway TestLostAnswerToAStop
 off lapse-grace internal/gateway/lapse.go 'if !now.Before(graceEnd) {' 'if true {' ./internal/gateway TestEntriesThatLapse
-off outliers-together internal/gateway/outliers.go 'if len(told) == 0 || len(told) > maxOutcomes {' 'if true {' ./internal/gateway TestVMsSpareAFailingWorkerTogether
+off outliers-together internal/gateway/outliers.go 'if len(told) == 0 || len(told) > maxOutcomes {' 'if true {' ./internal/gateway TestVMsEjectFailingWorkerTogether
 off most-spared coordination/placement/eligible.go 'if float64(len(spared)) > maxSparedShare' 'if false && float64(len(spared)) > maxSparedShare' ./coordination/placement TestSparedWorkers
 off time-over-is-no-failure transport/ingress/try.go 'return errors.Is(err, context.DeadlineExceeded) ||' 'return false && errors.Is(err, context.DeadlineExceeded) &&' ./transport/ingress TestOutcomesOfWorkers
 off soak-once coordination/retry/retry.go 'case !a.NotRun && !a.Idempotent:' 'case false:' ./platform 'TestSoak$'
@@ -95,7 +95,7 @@
 off key-needed transport/ingress/identify.go 'case !known:' 'case false:' ./transport/ingress TestWorkspacesAreKnownByTheirKeys
 off workspace-homes transport/ingress/identify.go '(q.workspace == nil || q.workspace.AllowsRegion(region))' 'true' ./transport/ingress TestHomesOfWorkspacesBind
 off strict-revocation internal/gateway/keys.go 'return !g.cfg.Bounds.StrictRevocation ||' 'return true ||' ./internal/gateway TestStrictRevocation
-off strangers-are-bounded internal/gateway/keys.go 'if now.Sub(k.last) < keyQuestionInterval {' 'if false {' ./internal/gateway TestStrangersAreNoLever
+off strangers-are-bounded internal/gateway/keys.go 'if now.Sub(k.last) < keyQuestionInterval {' 'if false {' ./internal/gateway TestUnknownKeysAreRateLimited
 off quota-loans-end coordination/ratelimit/pool.go 'if !l.Until.After(now) && (first.VM' 'if false && (first.VM' ./coordination/ratelimit TestNoWindowExceedsTheLimit
 off quota-one-pool coordination/ratelimit/lender.go 'if pool != l.pool && now.Before(l.until) {' 'if false {' ./coordination/ratelimit TestRestartsAndNewPoolsAddNoTokens
 off quota-starts-empty coordination/ratelimit/own.go 'b := &bucket{lastRefill: s.createdAt}' 'b := &bucket{lastRefill: s.createdAt, tokens: 1e9}' ./coordination/ratelimit TestRestartsAndNewPoolsAddNoTokens
@@ -160,8 +160,8 @@
 		delete' ./coordination/poison TestDetector
 off quarantine-explained coordination/poison/poison.go 'c.explained = true' '_ = c' ./coordination/poison TestDetector
 off soak-poison internal/gateway/quarantine.go 'if !g.quarantines.table.Hear(e) {' 'if true {' ./platform 'TestSoak/seed_9002'
-off lives-apart state/worker/worker.go 'return id + "@" + strconv.FormatUint(start, 36)' 'return id + strconv.FormatUint(start, 36)[:0]' ./internal/gateway TestNothingOfAnEarlierLife
-off older-life internal/gateway/compile.go 'if w.Start < before.Start {' 'if false {' ./internal/gateway TestNewestLife
+off lives-apart state/worker/worker.go 'return id + "@" + strconv.FormatUint(start, 36)' 'return id + strconv.FormatUint(start, 36)[:0]' ./internal/gateway TestEarlierIncarnationState
+off older-life internal/gateway/compile.go 'if w.Start < before.Start {' 'if false {' ./internal/gateway TestNewestIncarnation
 off returned-cold coordination/placement/placement.go 'return service.ColdRate > 0 && load.MayBeCold(' 'return service.ColdRate < 0 && load.MayBeCold(' ./internal/gateway TestWorkersThatReturn
 off entry-checked platform/worker.go 'if err := e.check(o.Name, time.Now()); err != nil {' 'if err := e.check(o.Name, time.Now()); err != nil && o.Name == "" {' ./platform TestEntriesOfOtherWriters
 off entries-one-by-one platform/store.go 'if json.Unmarshal(item, &o) == nil && o.Metadata.Name != "" {' 'if err := json.Unmarshal(item, &o); err != nil {
