--- a/internal/gateway/balance_test.go
+++ b/internal/gateway/balance_test.go
@@ -10,7 +10,7 @@
 
 // Guards against losing the holder table when the VM that decides it stops.
 func TestVMsFollowOneTable(t *testing.T) {
-	f, vms := threeVMs(t)
+	f, vms := startThreeVMs(t)
 	f.waitFor("all VMs have a table of the same epoch", func() bool { return commonEpoch(vms) != 0 })
 	epoch := commonEpoch(vms)
 	var leader *vm
@@ -62,7 +62,7 @@
 
 // Guards against slow propagation of a table change to the other VMs.
 func TestTablePropagatesInTime(t *testing.T) {
-	f, vms := threeVMs(t)
+	f, vms := startThreeVMs(t)
 	f.waitFor("all VMs have a table of the same epoch", func() bool { return commonEpoch(vms) != 0 })
 	for _, v := range vms {
 		if v.OwnsTable() {
--- a/internal/gateway/copies_test.go
+++ b/internal/gateway/copies_test.go
@@ -46,11 +46,11 @@
 	if ok, _ := limitAnswer(tooLarge); ok {
 		t.Error("sent a delta that is too large for any answer")
 	}
-	first, sent := limitAnswer(large)
-	second, _ := limitAnswer(large)
-	third, _ := limitAnswer(large)
-	if !first || !second || third {
-		t.Errorf("large deltas sent: %t, %t, %t, want the first two", first, second, third)
+	firstSent, sent := limitAnswer(large)
+	secondSent, _ := limitAnswer(large)
+	thirdSent, _ := limitAnswer(large)
+	if !firstSent || !secondSent || thirdSent {
+		t.Errorf("large deltas sent: %t, %t, %t, want the first two", firstSent, secondSent, thirdSent)
 	}
 	if ok, _ := limitAnswer(small); !ok {
 		t.Error("a small delta waits for large ones")
@@ -79,12 +79,12 @@
 
 // Guards against sending listed deltas to VMs whose version doesn't support them.
 func TestOlderVMsGetFullDeltas(t *testing.T) {
-	f, vms := threeVMs(t)
+	f, vms := startThreeVMs(t)
 	f.startWorker("w2", "s", "north-a")
-	for name, takes := range map[string]bool{"older": false, "newer": true} {
+	for name, takesListed := range map[string]bool{"older": false, "newer": true} {
 		t.Run(name, func(t *testing.T) {
-			ask := &peerpb.Sync{Since: map[string]uint64{kindWorkers: 1}, TakesListed: takes}
-			if d, ok := vms[0].DeltaFor(ask, kindWorkers); !ok || d.Full == takes || d.Listed != takes {
+			ask := &peerpb.Sync{Since: map[string]uint64{kindWorkers: 1}, TakesListed: takesListed}
+			if d, ok := vms[0].DeltaFor(ask, kindWorkers); !ok || d.Full == takesListed || d.Listed != takesListed {
 				t.Errorf("sent %+v", d)
 			}
 		})
@@ -93,7 +93,7 @@
 
 // Guards against a missing object, revealed by a peer's listing, not being read from the store.
 func TestDoubtedKindIsReadFromTheStore(t *testing.T) {
-	f, vms := threeVMs(t)
+	f, vms := startThreeVMs(t)
 	_, others := watcherOf(t, vms)
 	v := others[0]
 	before := v.storeClient.callCount("list " + kindWorkers)
--- a/internal/gateway/crash_test.go
+++ b/internal/gateway/crash_test.go
@@ -40,8 +40,8 @@
 	// requests that it served, both by worker id.
 	servers map[string]*http.Server
 	served  map[string][]time.Time
-	// closed is set at the end of the test and stops the restarts.
-	closed  bool
+	// stopped is set at the end of the test and stops the restarts.
+	stopped bool
 	running sync.WaitGroup
 	// downtime overrides defaultDowntime if it is above 0.
 	downtime time.Duration
@@ -99,9 +99,9 @@
 func (m *crashWorkers) relisten(address string) net.Listener {
 	for {
 		m.mu.Lock()
-		closed := m.closed
+		stopped := m.stopped
 		m.mu.Unlock()
-		if closed {
+		if stopped {
 			return nil
 		}
 		if l, err := net.Listen("tcp", address); err == nil {
@@ -145,9 +145,9 @@
 	go func() {
 		for {
 			m.mu.Lock()
-			closed := m.closed
+			stopped := m.stopped
 			m.mu.Unlock()
-			if closed {
+			if stopped {
 				_ = s.Close()
 				return
 			}
@@ -159,7 +159,7 @@
 
 func (m *crashWorkers) close() {
 	m.mu.Lock()
-	m.closed = true
+	m.stopped = true
 	m.mu.Unlock()
 	m.running.Wait()
 }
--- a/internal/gateway/deep_test.go
+++ b/internal/gateway/deep_test.go
@@ -57,7 +57,7 @@
 // waitSettled waits until all VMs are ready and have read the whole list of VMs.
 func (f deepFleet) waitSettled() {
 	for _, v := range f.vms {
-		f.waitFor(v.name+" serves", v.ready)
+		f.waitFor(v.name+" is ready", v.ready)
 	}
 	time.Sleep(3 * time.Second)
 }
@@ -107,10 +107,10 @@
 func TestLoadsCrossDeepTree(t *testing.T) {
 	f := startDeepFleet(t, nil)
 	f.waitSettled()
-	const busy = 9
+	const load = 9
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		w.Header().Set("Id", r.Header.Get("Id"))
-		w.Header().Set("Running", fmt.Sprint(busy))
+		w.Header().Set("Running", fmt.Sprint(load))
 	}))
 	t.Cleanup(server.Close)
 	f.store.put(kindWorkers, "w2", worker.Worker{Service: "s", Hall: "north-a", Slots: 4, Address: strings.TrimPrefix(server.URL, "http://")})
@@ -119,7 +119,7 @@
 	f.waitFor("all VMs know the worker", func() bool { return nearVM.KnowsWorker("w2") && farVM.KnowsWorker("w2") })
 	f.waitWithin(3*time.Second, "the load is known in the other hall", func() bool {
 		nearVM.sendRequest("/")
-		return farVM.Busy("w2") > busy/2
+		return farVM.Busy("w2") > load/2
 	})
 }
 
--- a/internal/gateway/export_test.go
+++ b/internal/gateway/export_test.go
@@ -188,14 +188,14 @@
 // QuotaLenderCount returns how many VMs lend their quota shares to this one.
 func (g *Gateway) QuotaLenderCount() int { return g.quotas.pool.LenderCount() }
 
-// ListedVMCount returns the number of VMs that quotas are divided among.
+// ListedVMCount returns the number of VMs that share each quota, 0 while it is unknown.
 func (g *Gateway) ListedVMCount() int { return g.listedVMs() }
 
 // Confirmed returns when the store last confirmed the state of a kind.
 func (g *Gateway) Confirmed(kind string) time.Time { return g.replica.Confirmed(kind) }
 
-// MergeListedVMCount merges a peer's count of listed VMs.
-func (g *Gateway) MergeListedVMCount(n uint32) { g.hearListedVMs(n) }
+// RecordListedVMCount records the number of VMs that a peer has listed.
+func (g *Gateway) RecordListedVMCount(n uint32) { g.hearListedVMs(n) }
 
 // IsController reports whether this VM advances moves and roll-outs.
 func (g *Gateway) IsController() bool { return g.controls() }
--- a/internal/gateway/fake_test.go
+++ b/internal/gateway/fake_test.go
@@ -240,8 +240,8 @@
 	if d.link == nil {
 		return nil
 	}
-	const requestBytes = 300 // Bytes.
-	wait := d.link.reserve(requestBytes)
+	const requestSize = 300 // Bytes.
+	wait := d.link.reserve(requestSize)
 	time.Sleep(min(wait, timeout))
 	if wait > timeout {
 		return errStoreUnavailable
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -183,8 +183,8 @@
 	return list
 }
 
-// threeVMs starts three VMs of one region and waits until each resolves all of them.
-func threeVMs(t *testing.T) (*fleet, []*vm) {
+// startThreeVMs starts three VMs of one region and waits until each resolves all of them.
+func startThreeVMs(t *testing.T) (*fleet, []*vm) {
 	f := newFleet(t)
 	f.startWorker("w1", "s", "north-a")
 	f.startWorker("o1", "other", "north-a")
@@ -226,7 +226,7 @@
 
 // Guards against VMs other than the watcher calling the store.
 func TestOneWatcherUpdatesOthers(t *testing.T) {
-	f, vms := threeVMs(t)
+	f, vms := startThreeVMs(t)
 	_, others := watcherOf(t, vms)
 	for _, v := range others {
 		before := v.storeClient.callCount("watch " + kindWorkers)
@@ -247,15 +247,15 @@
 // Guards against changes being delayed past staleAfter when the watcher fails.
 func TestChangesDoNotRestOnTheWatcher(t *testing.T) {
 	cases := map[string]func(watcher *vm){
-		"its store is silent": func(w *vm) { w.storeClient.setFailure(false, true) },
-		"its store is down":   func(w *vm) { w.storeClient.setFailure(true, false) },
-		"it ends":             func(w *vm) { w.stop() },
+		"its store calls hang": func(w *vm) { w.storeClient.setFailure(false, true) },
+		"its store calls fail": func(w *vm) { w.storeClient.setFailure(true, false) },
+		"it stops":             func(w *vm) { w.stop() },
 	}
-	for name, breakWatcher := range cases {
+	for name, failWatcher := range cases {
 		t.Run(name, func(t *testing.T) {
-			f, vms := threeVMs(t)
+			f, vms := startThreeVMs(t)
 			watcher, others := watcherOf(t, vms)
-			breakWatcher(watcher)
+			failWatcher(watcher)
 			time.Sleep(100 * time.Millisecond)
 			f.putConfig(2, "other")
 			start := time.Now()
@@ -271,9 +271,9 @@
 
 // Guards against a VM without access to the store staying without state while peers have it.
 func TestPeersSupplyStateWithoutStore(t *testing.T) {
-	f, _ := threeVMs(t)
+	f, _ := startThreeVMs(t)
 	late := f.startVM("d", "north-b", func(_ *gateway.Config, d *storeClient) { d.setFailure(true, false) })
-	f.waitWithin(2*time.Second, "d serves", late.ready)
+	f.waitWithin(2*time.Second, "d is ready", late.ready)
 	if _, id := late.sendRequest("/"); id != "w1" {
 		t.Errorf("answered by %q", id)
 	}
@@ -299,7 +299,7 @@
 	f.startWorker("o1", "other", "north-b")
 	v := f.startVM("a", "north-a", nil)
 	f.waitFor("the VM is ready", v.ready)
-	only := func(id string) func() bool {
+	allServedBy := func(id string) func() bool {
 		return func() bool {
 			for range 12 {
 				if _, got := v.sendRequest("/"); got != id {
@@ -322,7 +322,7 @@
 	})
 	t.Run("a closed hall gets no requests", func(t *testing.T) {
 		f.store.put(kindClosed, "north-a", struct{}{})
-		f.waitWithin(time.Second, "only w2 answers", only("w2"))
+		f.waitWithin(time.Second, "only w2 answers", allServedBy("w2"))
 	})
 	t.Run("a reopened hall gets requests", func(t *testing.T) {
 		f.store.remove(kindClosed, "north-a")
@@ -353,7 +353,7 @@
 
 // Guards against Resolve naming stopped VMs, or VMs of other regions while the region has any.
 func TestDirectory(t *testing.T) {
-	f, vms := threeVMs(t)
+	f, vms := startThreeVMs(t)
 	south := f.startVM("s", "south-a", nil)
 	f.waitFor("the others know the southern VM", func() bool { return slices.Equal(f.resolvedAddresses(vms[0], "south"), ingressAddrs(south)) })
 	t.Run("a stopped VM is not returned", func(t *testing.T) {
--- a/internal/gateway/lapse_test.go
+++ b/internal/gateway/lapse_test.go
@@ -27,11 +27,11 @@
 	f.store.remove(kindWorkers, "w1")
 	f.store.remove(kindWorkers, "w2")
 	v.storeClient.setFailure(false, false)
-	returned := time.Now()
+	restored := time.Now()
 	f.waitFor("the store was read again", func() bool { return v.storeClient.callCount("watch "+kindWorkers) > 0 })
-	for time.Since(returned) < 1500*time.Millisecond {
+	for time.Since(restored) < 1500*time.Millisecond {
 		if status, _ := v.sendRequest("/"); status != http.StatusOK {
-			t.Fatalf("status %d, %s after the store's return", status, time.Since(returned))
+			t.Fatalf("status %d, %s after the store's return", status, time.Since(restored))
 		}
 		time.Sleep(20 * time.Millisecond)
 	}
@@ -60,9 +60,9 @@
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
-			kept := gateway.Lapsed(before, listed, now, confirmed, c.graceEnd, worker.NewLoads(time.Now))
-			if len(kept) != c.want || c.want > 0 && (kept[0].ID != "gone" || !kept[0].Confirmed.Equal(confirmed)) {
-				t.Errorf("kept %v", kept)
+			retained := gateway.Lapsed(before, listed, now, confirmed, c.graceEnd, worker.NewLoads(time.Now))
+			if len(retained) != c.want || c.want > 0 && (retained[0].ID != "gone" || !retained[0].Confirmed.Equal(confirmed)) {
+				t.Errorf("kept %v", retained)
 			}
 		})
 	}
--- a/internal/gateway/lives_test.go
+++ b/internal/gateway/lives_test.go
@@ -22,7 +22,7 @@
 func TestNewestIncarnationWins(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		compile := gateway.NewWorkerCompiler(codec{}, object.Delta{Kind: kindWorkers, At: 1})
-		newest, leaving, hasLeft := uint64(0), false, false
+		newest, leaving, everLeaving := uint64(0), false, false
 		for at := uint64(2); at < uint64(rapid.IntRange(3, 20).Draw(t, "writes")); at++ {
 			w := worker.Worker{Service: "s", Hall: "north-b", Start: uint64(rapid.IntRange(1, 4).Draw(t, "start")), Leaving: rapid.Bool().Draw(t, "leaving")}
 			raw, err := json.Marshal(w)
@@ -30,7 +30,7 @@
 				t.Fatal(err)
 			}
 			if w.Start >= newest {
-				hasLeft = w.Leaving || hasLeft && w.Start == newest
+				everLeaving = w.Leaving || everLeaving && w.Start == newest
 				newest, leaving = w.Start, w.Leaving
 			}
 			set := compile(object.Delta{Kind: kindWorkers, Since: at - 1, At: at, Events: []object.Event{
@@ -40,7 +40,7 @@
 			if !ok || got.Start != newest || got.Leaving != leaving {
 				t.Fatalf("got %+v, want start %d, leaving %t", got, newest, leaving)
 			}
-			if !hasLeft && !got.DrainWindow.Until.IsZero() {
+			if !everLeaving && !got.DrainWindow.Until.IsZero() {
 				t.Fatalf("leaving state taken from an earlier incarnation: %+v", got.DrainWindow)
 			}
 			for start := uint64(1); start <= 4; start++ {
@@ -55,7 +55,7 @@
 
 // Guards against failures, load or ejection of one incarnation carrying over to the next.
 func TestEarlierIncarnationStateIsDropped(t *testing.T) {
-	f, vms := threeVMs(t)
+	f, vms := startThreeVMs(t)
 	w := f.store.get(kindWorkers, "w1")
 	put := func(start uint64) {
 		var entry worker.Worker
@@ -129,11 +129,11 @@
 		v.storeClient.setFailure(true, false)
 	}
 	time.Sleep(outage)
-	back := m.crash("w0")
+	restarted := m.crash("w0")
 	time.Sleep(coldStart - time.Second)
 	close(stop)
 	<-sent
-	served := m.servedBy("w0", back, back.Add(coldStart-time.Second))
+	served := m.servedBy("w0", restarted, restarted.Add(coldStart-time.Second))
 	if n, maxPerSecond := maxInOneSecond(served), coldRate*1.5+5; float64(n) > maxPerSecond {
 		t.Errorf("a cold worker got %d requests in a second, want at most %.1f", n, maxPerSecond)
 	}
@@ -145,20 +145,20 @@
 // maxInOneSecond returns the largest number of times within any second.
 func maxInOneSecond(times []time.Time) int {
 	slices.SortFunc(times, time.Time.Compare)
-	most, first := 0, 0
+	highest, first := 0, 0
 	for i, at := range times {
 		for at.Sub(times[first]) >= time.Second {
 			first++
 		}
-		most = max(most, i-first+1)
+		highest = max(highest, i-first+1)
 	}
-	return most
+	return highest
 }
 
 // Guards against VMs treating a worker as warm that another VM saw terminate.
 func TestVMsTellEachOtherWhoHasEnded(t *testing.T) {
 	const tellWithin = 1500 * time.Millisecond
-	f, vms := threeVMs(t)
+	f, vms := startThreeVMs(t)
 	target := worker.Worker{ID: "w1"}
 	f.store.put(kindConfig, "main", route.Config{
 		Version: 2, Services: []route.Service{{Name: "s", ColdRate: 11, ColdStart: 5 * time.Second}},
--- a/internal/gateway/loads_test.go
+++ b/internal/gateway/loads_test.go
@@ -18,7 +18,7 @@
 
 // Guards against a worker's reported load staying unknown to VMs that sent it no request.
 func TestVMsShareTheLoadOfWorkers(t *testing.T) {
-	f, vms := threeVMs(t)
+	f, vms := startThreeVMs(t)
 	busy := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("Running", "9")
 		fmt.Fprint(w, "busy")
--- a/internal/gateway/outliers_test.go
+++ b/internal/gateway/outliers_test.go
@@ -17,14 +17,14 @@
 
 // Guards against VMs that see one failure each not ejecting the worker together.
 func TestVMsEjectFailingWorkerTogether(t *testing.T) {
-	f, vms := threeVMs(t)
+	f, vms := startThreeVMs(t)
 	var requests atomic.Int64
-	bad := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
+	failing := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		requests.Add(1)
 		w.WriteHeader(http.StatusInternalServerError)
 	}))
-	t.Cleanup(bad.Close)
-	f.store.put(kindWorkers, "bad", worker.Worker{Service: "s", Hall: "north-a", Slots: 4, Address: strings.TrimPrefix(bad.URL, "http://")})
+	t.Cleanup(failing.Close)
+	f.store.put(kindWorkers, "bad", worker.Worker{Service: "s", Hall: "north-a", Slots: 4, Address: strings.TrimPrefix(failing.URL, "http://")})
 	f.store.remove(kindWorkers, "w1")
 	for _, v := range vms {
 		f.waitFor(v.name+" sends the worker a request", func() bool {
@@ -52,14 +52,14 @@
 
 // Guards against other VMs sending requests to an address that one VM found reused.
 func TestVMsHearThatAnAddressIsReused(t *testing.T) {
-	f, vms := threeVMs(t)
+	f, vms := startThreeVMs(t)
 	var requests atomic.Int64
-	other := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
+	reused := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		requests.Add(1)
 		w.WriteHeader(http.StatusMisdirectedRequest)
 	}))
-	t.Cleanup(other.Close)
-	f.store.put(kindWorkers, "ended", worker.Worker{Service: "s", Hall: "north-a", Slots: 4, Address: strings.TrimPrefix(other.URL, "http://")})
+	t.Cleanup(reused.Close)
+	f.store.put(kindWorkers, "ended", worker.Worker{Service: "s", Hall: "north-a", Slots: 4, Address: strings.TrimPrefix(reused.URL, "http://")})
 	f.store.remove(kindWorkers, "w1")
 	f.waitFor("one VM sends the worker a request", func() bool {
 		vms[0].sendRequest("/")
--- a/internal/gateway/quarantine_test.go
+++ b/internal/gateway/quarantine_test.go
@@ -60,9 +60,9 @@
 	}
 }
 
-// sixVMs starts six VMs and nine crashWorkers in three halls of two regions, and waits until
+// startCrashFleet starts six VMs and nine crashWorkers in three halls of two regions, and waits until
 // all VMs resolve each other.
-func sixVMs(t *testing.T) (*fleet, *crashWorkers) {
+func startCrashFleet(t *testing.T) (*fleet, *crashWorkers) {
 	hallCycle := []string{"north-a", "north-b", "south-a"}
 	f, m := newFleet(t), &crashWorkers{}
 	t.Cleanup(m.close)
@@ -105,7 +105,7 @@
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			f, m := sixVMs(t)
+			f, m := startCrashFleet(t)
 			if c.before != nil {
 				c.before(f)
 			}
@@ -178,7 +178,7 @@
 
 // Guards against a quarantine not reaching VMs that never saw the request, without the store.
 func TestAllVMsAreToldOfQuarantines(t *testing.T) {
-	f, m := sixVMs(t)
+	f, m := startCrashFleet(t)
 	for _, v := range f.vms {
 		v.storeClient.setFailure(true, false)
 	}
--- a/internal/gateway/ratelimits_test.go
+++ b/internal/gateway/ratelimits_test.go
@@ -38,14 +38,14 @@
 	defer m.mu.Unlock()
 	arrivals := slices.Clone(m.arrivals)
 	slices.SortFunc(arrivals, func(a, b signalArrival) int { return a.at.Compare(b.at) })
-	told := make(map[string]time.Time)
+	limitKnownSince := make(map[string]time.Time)
 	var first time.Time
 	for _, a := range arrivals {
 		if a.limit < 0 {
 			continue
 		}
-		if at, ok := told[a.vm]; !ok || a.answered.Before(at) {
-			told[a.vm] = a.answered
+		if at, ok := limitKnownSince[a.vm]; !ok || a.answered.Before(at) {
+			limitKnownSince[a.vm] = a.answered
 		}
 		if first.IsZero() || a.answered.Before(first) {
 			first = a.answered
@@ -57,8 +57,8 @@
 		}
 		n, highest := 0.0, 0.0
 		for _, a := range arrivals[:i+1] {
-			at, knew := told[a.vm]
-			if a.at.After(last.at.Add(-limitWindow)) && knew && a.at.After(at.Add(limitInFlightGrace)) {
+			at, known := limitKnownSince[a.vm]
+			if a.at.After(last.at.Add(-limitWindow)) && known && a.at.After(at.Add(limitInFlightGrace)) {
 				n, highest = n+1, max(highest, a.limit)
 			}
 		}
@@ -163,10 +163,10 @@
 	time.Sleep(3 * time.Second)
 	limited.setLimit(-1)
 	time.Sleep(8 * time.Second)
-	free := time.Now()
+	recovered := time.Now()
 	time.Sleep(2 * time.Second)
-	n := limited.arrivalsAfter(free)
-	all := n + workers[1].arrivalsAfter(free) + workers[2].arrivalsAfter(free)
+	n := limited.arrivalsAfter(recovered)
+	all := n + workers[1].arrivalsAfter(recovered) + workers[2].arrivalsAfter(recovered)
 	close(stop)
 	<-ended
 	if n*6 < all {
--- a/internal/gateway/return_test.go
+++ b/internal/gateway/return_test.go
@@ -15,8 +15,8 @@
 // Guards against all VMs listing the store, or becoming ready slowly, when a fleet restarts.
 func TestAllVMsReturnAtOnce(t *testing.T) {
 	const workers = 800
-	before := make(map[string]gateway.Config)
-	f := startDeepFleet(t, func(cfg *gateway.Config, _ *storeClient) { before[cfg.VM] = *cfg })
+	configs := make(map[string]gateway.Config)
+	f := startDeepFleet(t, func(cfg *gateway.Config, _ *storeClient) { configs[cfg.VM] = *cfg })
 	for i := range workers {
 		f.store.put(kindWorkers, fmt.Sprintf("i-%05d", i*7919%workers), worker.Worker{
 			Service: "s", Hall: "north-b", Slots: 9, Address: fmt.Sprintf("10.0.%d.%d:8000", i/250, i%250),
@@ -31,11 +31,11 @@
 	}
 
 	start := time.Now()
-	var back []*vm
+	var restarted []*vm
 	for i, v := range f.vms {
 		hall := []string{"north-a", "north-b"}[i%2]
-		back = append(back, f.startVM(v.name, hall, func(cfg *gateway.Config, d *storeClient) {
-			old := before[v.name]
+		restarted = append(restarted, f.startVM(v.name, hall, func(cfg *gateway.Config, d *storeClient) {
+			old := configs[v.name]
 			cfg.Ingress, cfg.Ready, cfg.Directory = old.Ingress, old.Ready, old.Directory
 			cfg.Peer, cfg.MetricsAddress, cfg.Seeds = old.Peer, old.MetricsAddress, old.Seeds
 			cfg.StaleAfter, cfg.LinkMbps = old.StaleAfter, old.LinkMbps
@@ -46,7 +46,7 @@
 	}
 	// Decoding the workers on every VM takes most of the time.
 	allStarted := time.Now()
-	for _, v := range back {
+	for _, v := range restarted {
 		f.waitFor(v.name+" is ready again", v.ready)
 	}
 	t.Logf("started in %s, all ready %s later", allStarted.Sub(start), time.Since(allStarted))
@@ -56,14 +56,14 @@
 	// One VM of each hall lists at once, and one more for each 0.25 s until the others
 	// have its state.
 	lists, writes := 0, 0
-	for _, v := range back {
+	for _, v := range restarted {
 		lists += v.storeClient.callCount("list " + kindWorkers)
 		writes += v.storeClient.callCount("put " + kindMembers)
 	}
-	if maxLists := len(back) / 3; lists > maxLists || writes > 0 {
-		t.Errorf("%d lists of the workers and %d entries written by %d VMs, want %d at most, and none", lists, writes, len(back), maxLists)
+	if maxLists := len(restarted) / 3; lists > maxLists || writes > 0 {
+		t.Errorf("%d lists of the workers and %d entries written by %d VMs, want %d at most, and none", lists, writes, len(restarted), maxLists)
 	}
-	for _, v := range back {
+	for _, v := range restarted {
 		v.stop() // Stop all at once; each is waited for later.
 	}
 }
--- a/internal/gateway/rollouts_test.go
+++ b/internal/gateway/rollouts_test.go
@@ -101,8 +101,8 @@
 	return n
 }
 
-// rolloutFleet starts five VMs and the version 1 workers of a service.
-func rolloutFleet(t *testing.T) (*fleet, *versionedService) {
+// startRolloutFleet starts five VMs and the version 1 workers of a service.
+func startRolloutFleet(t *testing.T) (*fleet, *versionedService) {
 	f := newFleet(t)
 	s := &versionedService{f: f, servers: make(map[rollout.Version][]*httptest.Server), arrivals: make(map[rollout.Version][]time.Time)}
 	s.startAll(1)
@@ -112,7 +112,7 @@
 		})
 	}
 	for _, v := range f.vms {
-		f.waitFor(v.name+" serves", v.Ready)
+		f.waitFor(v.name+" is ready", v.Ready)
 		f.waitFor(v.name+" knows all VMs", func() bool { return v.LiveVMCount() == len(f.vms) })
 	}
 	return f, s
@@ -161,7 +161,7 @@
 	for name, disturb := range cases {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			f, s := rolloutFleet(t)
+			f, s := startRolloutFleet(t)
 			s.startAll(2)
 			start := time.Now()
 			f.generateLoadFor(4*time.Millisecond, time.Second)
@@ -214,15 +214,15 @@
 			time.AfterFunc(rolloutWithin, func() { f.setStoreUnavailable(false) })
 		},
 	}
-	for name, turnBad := range cases {
+	for name, causeFailures := range cases {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			f, s := rolloutFleet(t)
+			f, s := startRolloutFleet(t)
 			s.startAll(2)
 			stop, ended := make(chan struct{}), make(chan *outcomes)
 			go func() { ended <- f.generateLoad(4*time.Millisecond, stop) }()
 			ordered := f.putRolloutOrder()
-			turnBad(f, s)
+			causeFailures(f, s)
 			f.waitForPhase(rollout.PhaseRolledBack)
 			last := time.Now()
 			time.Sleep(500 * time.Millisecond)
--- a/internal/gateway/signal_workers_test.go
+++ b/internal/gateway/signal_workers_test.go
@@ -51,11 +51,11 @@
 	s := httptest.NewServer(m)
 	f.t.Cleanup(s.Close)
 	m.address = strings.TrimPrefix(s.URL, "http://")
-	f.store.put(kindWorkers, id, m.entry(hall, 0))
+	f.store.put(kindWorkers, id, m.workerEntry(hall, 0))
 	return m
 }
 
-func (m *signalWorker) entry(hall string, start uint64) worker.Worker {
+func (m *signalWorker) workerEntry(hall string, start uint64) worker.Worker {
 	return worker.Worker{Service: "s", Hall: hall, Slots: 4, Address: m.address, Start: start}
 }
 
--- a/internal/gateway/signals_test.go
+++ b/internal/gateway/signals_test.go
@@ -64,7 +64,7 @@
 	if n := leaver.arrivalsAfter(restarted); n > 0 {
 		t.Errorf("%d requests reached a worker that has left, before its next incarnation was registered", n)
 	}
-	f.store.put(kindWorkers, leaver.id, leaver.entry("north-a", 7))
+	f.store.put(kindWorkers, leaver.id, leaver.workerEntry("north-a", 7))
 	f.waitFor("the next incarnation gets requests", func() bool {
 		f.generateLoadFor(5*time.Millisecond, 50*time.Millisecond)
 		return leaver.arrivalsAfter(restarted) > 0
@@ -90,9 +90,9 @@
 	close(stop)
 	served, lost := (<-ended).counts()
 	for _, w := range workers[:3] {
-		asked, broken := w.restCounts()
-		if asked == 0 || broken > 0 {
-			t.Errorf("%s asked for rest %d times, violated %d times", w.id, asked, broken)
+		asked, violated := w.restCounts()
+		if asked == 0 || violated > 0 {
+			t.Errorf("%s asked for rest %d times, violated %d times", w.id, asked, violated)
 		}
 		if w.arrivalsAfter(restsOver) == 0 {
 			t.Errorf("%s gets no requests after its rests", w.id)
@@ -125,7 +125,7 @@
 	late := f.startVM("late", "north-b", func(_ *gateway.Config, d *storeClient) { d.setFailure(true, false) })
 	f.waitFor("late is ready", late.ready)
 	f.waitWithin(tellWithin, "the late VM knows that the worker is leaving", func() bool { return late.IsLeaving(leaver.id) })
-	f.store.put(kindWorkers, leaver.id, leaver.entry("north-a", 7))
+	f.store.put(kindWorkers, leaver.id, leaver.workerEntry("north-a", 7))
 	f.setStoreUnavailable(false)
 	late.storeClient.setFailure(false, false)
 	next := worker.Worker{ID: leaver.id, Start: 7}
--- a/internal/gateway/slowlink_test.go
+++ b/internal/gateway/slowlink_test.go
@@ -101,7 +101,7 @@
 		links[i] = &link{}
 		f.startVM(fmt.Sprintf("v%d", i), "north-a", withSlowLink(links[i]))
 	}
-	inForce := func(version uint64) func() bool {
+	hasVersion := func(version uint64) func() bool {
 		return func() bool {
 			for _, v := range f.vms {
 				if v.Version() != version {
@@ -111,7 +111,7 @@
 			return true
 		}
 	}
-	f.waitFor("all VMs have the configuration", inForce(1))
+	f.waitFor("all VMs have the configuration", hasVersion(1))
 	time.Sleep(4 * time.Second) // Wait until startup traffic is over.
 	before := make([]int, vmCount)
 	for i, l := range links {
@@ -122,7 +122,7 @@
 	f.store.dropHistory(func() { f.putConfig(2, "s") })
 	time.Sleep(time.Second)
 	f.store.dropHistory(func() { f.putConfig(3, "s") })
-	f.waitWithin(applyWithin, "a change made while history was dropped", inForce(3))
+	f.waitWithin(applyWithin, "applying a change made while the history was dropped", hasVersion(3))
 
 	time.Sleep(time.Second)
 	for i, l := range links {
--- a/internal/gateway/stop_test.go
+++ b/internal/gateway/stop_test.go
@@ -29,9 +29,9 @@
 	})
 	Convey("In a large fleet a bounded number is notified, those of the same hall first, then of the region", t, func() {
 		for _, n := range []int{90, 985, 1970} {
-			told := gateway.LeavingRecipients(members(n), "a1", regions)
-			So(told, ShouldHaveLength, 64)
-			for i, m := range told {
+			recipients := gateway.LeavingRecipients(members(n), "a1", regions)
+			So(recipients, ShouldHaveLength, 64)
+			for i, m := range recipients {
 				if i < min(n/3, 64) {
 					So(m.Hall, ShouldEqual, "a1")
 				} else if i < min(2*n/3, 64) {
--- a/internal/gateway/teller_test.go
+++ b/internal/gateway/teller_test.go
@@ -13,7 +13,7 @@
 	"github.com/ryehill/ryehill/state/object"
 )
 
-// Guards against counting the time to build an answer as hold time, which understates its age.
+// Guards against counting the time to build an answer as hold time, which makes state look fresher.
 func TestTimeSpentOnAnAnswerIsNotHeld(t *testing.T) {
 	f := newFleet(t)
 	v := f.startVM("a", "north-a", nil)
@@ -39,9 +39,9 @@
 		held := time.Duration(answer.GetHeldMillis()) * time.Millisecond
 		age := time.Duration(answer.GetAgeMillis()[kindConfig]) * time.Millisecond
 		// A pause before the VM reads its state counts in both held and age.
-		if taken := start.Add(held - age); taken.After(confirmed.Add(time.Millisecond)) {
+		if apparent := start.Add(held - age); apparent.After(confirmed.Add(time.Millisecond)) {
 			t.Errorf("state confirmed %s before the request appears %s younger than it is: held %s, age %s, took %s",
-				start.Sub(confirmed), taken.Sub(confirmed), held, age, took)
+				start.Sub(confirmed), apparent.Sub(confirmed), held, age, took)
 		}
 		t.Logf("held %s, age %s, took %s", held, age, took)
 		return
--- a/internal/gateway/versions_test.go
+++ b/internal/gateway/versions_test.go
@@ -15,8 +15,8 @@
 )
 
 func TestVersionsInUse(t *testing.T) {
-	workers := func(counts map[rollout.Version]int) (list []*worker.Worker) {
-		for version, n := range counts {
+	workers := func(perVersion map[rollout.Version]int) (list []*worker.Worker) {
+		for version, n := range perVersion {
 			for i := range n {
 				list = append(list, &worker.Worker{ID: fmt.Sprintf("w%d-%d", version, i), Service: "s", Slots: 4, Version: version})
 			}
--- a/internal/gateway/watchers_test.go
+++ b/internal/gateway/watchers_test.go
@@ -44,9 +44,9 @@
 
 // Guards against the whole region calling the store when the watcher loses access to it.
 func TestWatcherWithoutStoreIsPassedOver(t *testing.T) {
-	cases := map[string]struct{ shut, silent bool }{
-		"its store calls hang": {silent: true},
-		"its store calls fail": {shut: true},
+	cases := map[string]struct{ unavailable, hanging bool }{
+		"its store calls hang": {hanging: true},
+		"its store calls fail": {unavailable: true},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -57,7 +57,7 @@
 			for _, v := range others {
 				before[v.name] = v.storeClient.callCount("watch " + kindConfig)
 			}
-			watcher.storeClient.setFailure(c.shut, c.silent)
+			watcher.storeClient.setFailure(c.unavailable, c.hanging)
 			if age := maxStateAge(8*time.Second, vms...); age >= longStaleAfter {
 				t.Errorf("a VM used state that was %s old", age)
 			}
--- a/internal/gateway/workspaces_test.go
+++ b/internal/gateway/workspaces_test.go
@@ -118,17 +118,17 @@
 
 // Guards against unknown keys causing an unbounded rate of queries to peers.
 func TestUnknownKeysAreRateLimited(t *testing.T) {
-	k, now, asked := gateway.NewKeyQuestions(), time.Now(), 0
+	questions, now, queries := gateway.NewKeyQuestions(), time.Now(), 0
 	const tries, span = 5000, 10 * time.Second
 	for i := range tries {
-		if k.Allows(workspace.DigestOf(fmt.Sprint("bad", i)), now.Add(time.Duration(i)*span/tries)) {
-			asked++
+		if questions.Allows(workspace.DigestOf(fmt.Sprint("bad", i)), now.Add(time.Duration(i)*span/tries)) {
+			queries++
 		}
 	}
-	if asked < 30 || asked > 41 {
-		t.Errorf("%d queries in %s, want four a second", asked, span)
+	if queries < 30 || queries > 41 {
+		t.Errorf("%d queries in %s, want four a second", queries, span)
 	}
-	if k.Allows(workspace.DigestOf("again"), now.Add(2*span)) && k.Allows(workspace.DigestOf("again"), now.Add(2*span+500*time.Millisecond)) {
+	if questions.Allows(workspace.DigestOf("again"), now.Add(2*span)) && questions.Allows(workspace.DigestOf("again"), now.Add(2*span+500*time.Millisecond)) {
 		t.Error("two queries within a second for one key")
 	}
 }
@@ -197,13 +197,13 @@
 		}
 		return passed
 	}
-	const most = int((rate*2+burst)*11/10 + slack)
-	if one := servedInWindow(f.vms[:1]); one < 18 || one > most {
-		t.Errorf("%d pass at one VM, want more than its share of 14 and at most %d", one, most)
+	const maxServed = int((rate*2+burst)*11/10 + slack)
+	if one := servedInWindow(f.vms[:1]); one < 18 || one > maxServed {
+		t.Errorf("%d pass at one VM, want more than its share of 14 and at most %d", one, maxServed)
 	}
 	time.Sleep(2 * time.Second)
-	if all := servedInWindow(f.vms); all < 22 || all > most {
-		t.Errorf("%d pass at all VMs, want about 36 and at most %d", all, most)
+	if all := servedInWindow(f.vms); all < 22 || all > maxServed {
+		t.Errorf("%d pass at all VMs, want about 36 and at most %d", all, maxServed)
 	}
 }
 
@@ -211,15 +211,15 @@
 func TestStartingVMLearnsQuotaVMCount(t *testing.T) {
 	f := startWorkspaceFleet(t, 2, nil)
 	f.waitFor("both are listed", func() bool { return f.vms[0].ListedVMCount() == 2 })
-	if told := f.vms[0].AnswerSync(context.Background(), &peerpb.Sync{}).GetListedVms(); told != 2 {
-		t.Errorf("the answer lists %d VMs, want 2", told)
+	if listed := f.vms[0].AnswerSync(context.Background(), &peerpb.Sync{}).GetListedVms(); listed != 2 {
+		t.Errorf("the answer lists %d VMs, want 2", listed)
 	}
 	f.seeds = nil
 	v := f.startVM("late", "north-a", func(_ *gateway.Config, d *storeClient) { d.setFailure(true, false) })
 	if n := v.ListedVMCount(); n != 0 {
 		t.Fatalf("quotas are divided among %d VMs before any state is known", n)
 	}
-	v.MergeListedVMCount(7)
+	v.RecordListedVMCount(7)
 	if n := v.ListedVMCount(); n != 7 {
 		t.Errorf("quotas are divided among %d VMs, a peer sent 7", n)
 	}
