--- /dev/null
+++ b/internal/gateway/incarnations_test.go
@@ -0,0 +1,181 @@
+// Copyright 2026 The ryehill Authors
+// SPDX-License-Identifier: Apache-2.0
+
+package gateway_test
+
+import (
+	"encoding/json"
+	"fmt"
+	"slices"
+	"testing"
+	"time"
+
+	"pgregory.net/rapid"
+
+	"github.com/ryehill/ryehill/internal/gateway"
+	"github.com/ryehill/ryehill/state/object"
+	"github.com/ryehill/ryehill/state/route"
+	"github.com/ryehill/ryehill/state/worker"
+)
+
+// Guards against state of an earlier incarnation overriding that of the newest one.
+func TestNewestIncarnationWins(t *testing.T) {
+	rapid.Check(t, func(t *rapid.T) {
+		compile := gateway.NewWorkerCompiler(codec{}, object.Delta{Kind: kindWorkers, UpTo: 1})
+		newest, leaving, everLeaving := uint64(0), false, false
+		for at := uint64(2); at < uint64(rapid.IntRange(3, 20).Draw(t, "writes")); at++ {
+			w := worker.Worker{Service: "s", Hall: "north-b", Start: uint64(rapid.IntRange(1, 4).Draw(t, "start")), Leaving: rapid.Bool().Draw(t, "leaving")}
+			raw, err := json.Marshal(w)
+			if err != nil {
+				t.Fatal(err)
+			}
+			if w.Start >= newest {
+				everLeaving = w.Leaving || everLeaving && w.Start == newest
+				newest, leaving = w.Start, w.Leaving
+			}
+			set := compile(object.Delta{Kind: kindWorkers, Since: at - 1, UpTo: at, Events: []object.Event{
+				{Object: object.Object{Name: "w", Revision: at, Spec: raw}},
+			}})
+			got, ok := set.Get("w")
+			if !ok || got.Start != newest || got.Leaving != leaving {
+				t.Fatalf("got %+v, want start %d, leaving %t", got, newest, leaving)
+			}
+			if !everLeaving && !got.DrainWindow.Until.IsZero() {
+				t.Fatalf("leaving state taken from an earlier incarnation: %+v", got.DrainWindow)
+			}
+			for start := uint64(1); start <= 4; start++ {
+				candidate := worker.Worker{ID: "w", Start: start}
+				if set.HasIncarnation(candidate.Incarnation()) != (start == newest) {
+					t.Fatalf("wrong result for incarnation %d, the newest is %d", start, newest)
+				}
+			}
+		}
+	})
+}
+
+// Guards against failures, load or ejection of one incarnation carrying over to the next.
+func TestEarlierIncarnationStateIsDropped(t *testing.T) {
+	f, vms := startThreeVMs(t)
+	w := f.store.get(kindWorkers, "w1")
+	put := func(start uint64) {
+		var entry worker.Worker
+		if err := json.Unmarshal(w.Spec, &entry); err != nil {
+			t.Fatal(err)
+		}
+		entry.Start = start
+		f.store.put(kindWorkers, "w1", entry)
+	}
+	first, second := worker.Worker{ID: "w1", Start: 1}, worker.Worker{ID: "w1", Start: 2}
+	put(1)
+	for _, v := range vms {
+		f.waitFor(v.name+" knows the first incarnation", func() bool { return v.KnowsIncarnation(first.Incarnation()) })
+	}
+	vms[0].MarkFailing(first.Incarnation())
+	if !vms[0].IsPenalized(first.Incarnation()) {
+		t.Fatal("the first incarnation is not penalized")
+	}
+	put(2)
+	for _, v := range vms {
+		f.waitFor(v.name+" knows the second incarnation", func() bool { return v.KnowsIncarnation(second.Incarnation()) })
+		if v.KnowsIncarnation(first.Incarnation()) || v.IsPenalized(second.Incarnation()) || v.Busy(second.Incarnation()) != 0 {
+			t.Errorf("%s applies state of the first incarnation to the second", v.name)
+		}
+	}
+}
+
+// Guards against overloading a cold worker that restarted during a store outage.
+func TestWorkersThatReturnWhileTheStoreIsAway(t *testing.T) {
+	testRestartDuringOutage(t, 2500*time.Millisecond, defaultDowntime) // Longer than the gaps between replies of a healthy store.
+}
+
+// Guards against treating a worker as warm that restarts just as a store outage begins.
+func TestWorkerThatReturnsAsTheStoreFallsSilent(t *testing.T) {
+	t.Parallel()
+	testRestartDuringOutage(t, 300*time.Millisecond, 20*time.Millisecond)
+}
+
+// testRestartDuringOutage restarts a worker some time into a store outage and checks the
+// rate of requests that it gets while it is cold.
+func testRestartDuringOutage(t *testing.T, outage, downtime time.Duration) {
+	t.Helper()
+	const coldRate, coldStart = 11.0, 5 * time.Second
+	f := newFleet(t)
+	f.store.put(kindConfig, "main", route.Config{
+		Version: 2, Services: []route.Service{{Name: "s", ColdRate: coldRate, ColdStart: coldStart}},
+		Routes: []route.Route{{
+			Name: "r", Host: "h", Prefix: "/", Timeout: 3 * time.Second, Repeatable: true, MaxAttempts: 2,
+			Targets: []route.Target{{Service: "s", Weight: 1}},
+		}},
+	})
+	m := &crashWorkers{downtime: downtime}
+	t.Cleanup(m.close)
+	for i := range 3 {
+		m.start(f, fmt.Sprintf("w%d", i), "north-a")
+	}
+	for i := range 4 {
+		f.startVM(fmt.Sprintf("v%d", i), "north-a", nil)
+	}
+	for _, v := range f.vms {
+		f.waitFor(v.name+" knows all VMs", func() bool { return len(f.resolvedAddresses(v, "north")) == 4 })
+	}
+	stop := make(chan struct{})
+	sent := make(chan struct{})
+	go func() {
+		defer close(sent)
+		f.sendUntilStopped("/popular", 8*time.Millisecond, stop)
+	}()
+	time.Sleep(time.Second) // Wait until all VMs have connections to all workers.
+	for _, v := range f.vms {
+		v.storeClient.setFailure(true, false)
+	}
+	time.Sleep(outage)
+	restarted := m.crash("w0")
+	time.Sleep(coldStart - time.Second)
+	close(stop)
+	<-sent
+	served := m.servedBy("w0", restarted, restarted.Add(coldStart-time.Second))
+	if n, maxPerSecond := maxInOneSecond(served), coldRate*1.5+5; float64(n) > maxPerSecond {
+		t.Errorf("a cold worker got %d requests in a second, want at most %.1f", n, maxPerSecond)
+	}
+	if len(served) == 0 {
+		t.Error("the cold worker got no requests")
+	}
+}
+
+// maxInOneSecond returns the largest number of times within any second.
+func maxInOneSecond(times []time.Time) int {
+	slices.SortFunc(times, time.Time.Compare)
+	highest, first := 0, 0
+	for i, at := range times {
+		for at.Sub(times[first]) >= time.Second {
+			first++
+		}
+		highest = max(highest, i-first+1)
+	}
+	return highest
+}
+
+// Guards against VMs treating a worker as warm that another VM saw terminate.
+func TestVMsTellEachOtherWhoHasEnded(t *testing.T) {
+	const tellWithin = 1500 * time.Millisecond
+	f, vms := startThreeVMs(t)
+	target := worker.Worker{ID: "w1"}
+	f.store.put(kindConfig, "main", route.Config{
+		Version: 2, Services: []route.Service{{Name: "s", ColdRate: 11, ColdStart: 5 * time.Second}},
+		Routes: []route.Route{{Name: "r", Host: "h", Prefix: "/", Timeout: 5 * time.Second, Targets: []route.Target{{Service: "s", Weight: 1}}}},
+	})
+	for _, v := range vms {
+		f.waitFor(v.name+" has the configuration", func() bool { return v.Version() == 2 })
+	}
+	f.setStoreUnavailable(true)
+	time.Sleep(2500 * time.Millisecond) // Longer than the gaps between replies of a healthy store.
+	vms[0].RecordConnectionsClosed(target.Incarnation())
+	f.waitWithin(tellWithin, "all VMs treat the worker as cold", func() bool {
+		for _, v := range vms {
+			if !v.IsCold(target.ID) {
+				return false
+			}
+		}
+		return true
+	})
+}
