--- a/scripts/switch-off.sh
+++ b/scripts/switch-off.sh
@@ -72,7 +72,7 @@
 off grant-lapse coordination/capacity/grant.go 'if !now.Before(g.expiresAt) {' 'if false && !now.Before(g.expiresAt) {' ./coordination/capacity TestGrantExpires
 off holder-looks-at-clock coordination/capacity/holder.go 'if g.inUse < g.Slots && now.Before(g.ExpiresAt) &&' 'if g.inUse < g.Slots && now.Before(now.Add(1)) &&' ./coordination/capacity TestGrantExpires
 off own-callers-first coordination/capacity/pool.go 'if p.inUse >= usable || len' 'if p.inUse+p.lentUnused() >= usable || len' ./coordination/capacity TestIdleLentSlots
-off late-answer transport/upstream/exchange.go 'if x.client.cfg.Dialect.Belongs(x.req, res) {' 'if true || stale < 0 {' ./transport/upstream TestStaleResponseIsSkipped
+off late-answer transport/upstream/exchange.go 'if x.client.cfg.Dialect.MatchesRequest(x.req, res) {' 'if true || stale < 0 {' ./transport/upstream TestStaleResponseIsSkipped
 off nameless-answer transport/upstream/exchange.go 'reuse := !unmatched && ' 'reuse := (unmatched || !unmatched) && ' ./transport/upstream TestMisdirectedResponse
 off announced-keep-alive transport/upstream/conn.go 'c.idleTimeout = min(c.idleTimeout, limit-limit/marginDivisor)' '_ = limit' ./transport/upstream TestKeepAliveTimeoutIsHonored
 off once-not-again transport/ingress/attempt.go 'Idempotent: q.route.Repeatable, BodyConsumed' 'Idempotent: true, BodyConsumed' ./transport/ingress TestRetries
@@ -168,7 +168,7 @@
 			return err
 		} else {' ./platform TestNeighboursOfFaulty
 off leaving-heard transport/ingress/signals.go 'if cfg.Dialect.Leaving(header) {' 'if false && cfg.Dialect.Leaving(header) {' ./internal/gateway TestWorkerThatSaysItLeaves
-off rests-heard transport/ingress/signals.go 'cfg.Dialect.Rest(status, header); asked {' 'cfg.Dialect.Rest(status, header); asked && false {' ./internal/gateway TestWorkersThatAskForRest
+off rests-heard transport/ingress/signals.go 'cfg.Dialect.Backoff(status, header); asked {' 'cfg.Dialect.Backoff(status, header); asked && false {' ./internal/gateway TestWorkersThatAskForRest
 off own-words-only transport/ingress/attempt.go 'if failed.Kind() != upstream.KindWrongWorker {' 'if true {' ./transport/ingress TestLeavingSignal
 off leaving-told-on internal/gateway/signals.go 'if leaving := signals.Leaving; !leaving' 'if leaving := signals.Leaving; false && !leaving' ./internal/gateway TestVMsTellEachOtherWhoLeaves
 off limit-permits internal/gateway/gateway.go 'Demand: g.balancer.meter, Permits: g.permits,' 'Demand: g.balancer.meter,' ./internal/gateway TestWorkersThatNameALimit
