--- a/internal/gateway/fake_test.go
+++ b/internal/gateway/fake_test.go
@@ -387,7 +387,7 @@
 
 func (dialect) RequestID(r *http.Request) string { return r.Header.Get("Id") }
 
-func (dialect) Patience(r *http.Request) (time.Duration, bool) {
+func (dialect) ClientTimeout(r *http.Request) (time.Duration, bool) {
 	ms, err := strconv.Atoi(r.Header.Get("Wait"))
 	return time.Duration(ms) * time.Millisecond, err == nil
 }
@@ -400,8 +400,8 @@
 	h.Del("Api-Key")
 	h.Set("Workspace", name)
 }
-func (dialect) Key(*http.Request) (string, bool)           { return "", false }
-func (dialect) Address(http.Header, string, time.Duration) {}
+func (dialect) AffinityKey(*http.Request) (string, bool)            { return "", false }
+func (dialect) SetWorkerHeaders(http.Header, string, time.Duration) {}
 func (dialect) Load(h http.Header) (running, waiting int, ok bool) {
 	running, err := strconv.Atoi(h.Get("Running"))
 	return running, 0, err == nil
@@ -409,7 +409,7 @@
 
 func (dialect) Leaving(h http.Header) bool { return h.Get("Leaving") != "" }
 
-func (dialect) Rest(status int, h http.Header) (time.Duration, bool) {
+func (dialect) Backoff(status int, h http.Header) (time.Duration, bool) {
 	rest, err := time.ParseDuration(h.Get("Rest"))
 	return rest, err == nil && status == http.StatusServiceUnavailable
 }
@@ -427,8 +427,8 @@
 	}
 	return upstream.KindWrongWorker, res.StatusCode == http.StatusMisdirectedRequest
 }
-func (dialect) Belongs(_ *upstream.Request, _ *http.Response) bool { return true }
-func (dialect) WithoutLength() bool                                { return true }
+func (dialect) MatchesRequest(_ *upstream.Request, _ *http.Response) bool { return true }
+func (dialect) AllowsCloseDelimited() bool                                { return true }
 
 var (
 	_ gateway.Store   = (*storeClient)(nil)
--- a/internal/program/gateway.go
+++ b/internal/program/gateway.go
@@ -52,10 +52,10 @@
 		cfg.Metrics.PlatformCall(call+" "+kind, err)
 		cfg.StoreCalls.Note(call, kind, err)
 	}
-	cfg.Store = storeAdapter{platform.NewStore(platform.StoreConfig{Address: c.String("platform"), Called: called})}
+	cfg.Store = storeAdapter{platform.NewStore(platform.StoreConfig{Address: c.String("platform"), OnCall: called})}
 	cfg.Codec = platform.Codec{}
 	cfg.Dialect = platform.Headers{}
-	cfg.EntryHandler = func(g *gateway.Gateway) http.Handler { return platform.Entry(g) }
+	cfg.EntryHandler = func(g *gateway.Gateway) http.Handler { return platform.NewEntryHandler(g) }
 	g, err := gateway.New(cfg)
 	if err != nil {
 		return withCode(exitFailed, err)
@@ -95,11 +95,11 @@
 // meant marks an error of the platform with what it means to a gateway.
 func meant(err error) error {
 	switch {
-	case errors.Is(err, platform.ErrForgotten):
+	case errors.Is(err, platform.ErrHistoryExpired):
 		return errors.Mark(err, gateway.ErrHistoryGone)
-	case errors.Is(err, platform.ErrMissing):
+	case errors.Is(err, platform.ErrNotFound):
 		return errors.Mark(err, gateway.ErrNotFound)
-	case errors.Is(err, platform.ErrExists):
+	case errors.Is(err, platform.ErrConflict):
 		return errors.Mark(err, gateway.ErrConflict)
 	}
 	return err
--- a/transport/ingress/ingress.go
+++ b/transport/ingress/ingress.go
@@ -47,24 +47,24 @@
 type Dialect interface {
 	// RequestID returns the id that the client gave the request.
 	RequestID(r *http.Request) string
-	// Patience returns how long the client waits for a response, if the request says so.
-	Patience(r *http.Request) (time.Duration, bool)
-	// Key returns the affinity key of a request, if it has one.
-	Key(r *http.Request) (string, bool)
+	// ClientTimeout returns how long the client waits for a response, if the request says so.
+	ClientTimeout(r *http.Request) (time.Duration, bool)
+	// AffinityKey returns the affinity key of a request, if it has one.
+	AffinityKey(r *http.Request) (string, bool)
 	// APIKey returns the API key of a request, if it has one.
 	APIKey(r *http.Request) (string, bool)
 	// SetWorkspace sets the workspace in a request to a worker, "" for none, and
 	// removes the API key and any workspace header of the client.
 	SetWorkspace(h http.Header, name string)
-	// Address sets the id of the target worker and the remaining time.
-	Address(h http.Header, workerID string, left time.Duration)
+	// SetWorkerHeaders sets the id of the target worker and the remaining time.
+	SetWorkerHeaders(h http.Header, workerID string, left time.Duration)
 	// Load returns the running and waiting requests that a worker reports in a response.
 	Load(h http.Header) (running, waiting int, ok bool)
 	// Leaving reports whether a worker declares in a response that it is leaving.
 	Leaving(h http.Header) bool
-	// Rest returns for how long a worker asks this VM to send it no requests, if the
+	// Backoff returns for how long a worker asks this VM to send it no requests, if the
 	// response does so.
-	Rest(status int, h http.Header) (time.Duration, bool)
+	Backoff(status int, h http.Header) (time.Duration, bool)
 	// RateLimit returns the rate, in requests per second, that a worker accepts from
 	// all VMs together, or math.Inf(1) if the response declares no limit. An error
 	// means that the limit in the response is malformed.
@@ -199,7 +199,7 @@
 // for its first one, since a refusal would use up one of the client's few retries.
 func (h *Handler) awaitSnapshot(r *http.Request) *placement.Snapshot {
 	maxWait := minStartupWait
-	if timeout, ok := h.cfg.Dialect.Patience(r); ok {
+	if timeout, ok := h.cfg.Dialect.ClientTimeout(r); ok {
 		maxWait = min(max(time.Duration(float64(timeout)*startupWaitFraction), minStartupWait), maxStartupWait)
 	}
 	for started := h.cfg.Now(); h.cfg.Now().Sub(started) < maxWait && r.Context().Err() == nil; time.Sleep(startupPollInterval) {
@@ -271,7 +271,7 @@
 // serve handles a request after its route and workspace are known.
 func (q *request) serve(s *placement.Snapshot) {
 	q.deadline = q.computeDeadline()
-	if key, ok := q.handler.cfg.Dialect.Key(q.req); ok && q.route.Affinity {
+	if key, ok := q.handler.cfg.Dialect.AffinityKey(q.req); ok && q.route.Affinity {
 		q.key, q.keyed = xxhash.Sum64String(key), true
 	} else {
 		q.key = xxhash.Sum64String(q.id)
@@ -307,7 +307,7 @@
 	if q.route.Timeout > 0 {
 		timeout = q.route.Timeout
 	}
-	if clientTimeout, ok := q.handler.cfg.Dialect.Patience(q.req); ok {
+	if clientTimeout, ok := q.handler.cfg.Dialect.ClientTimeout(q.req); ok {
 		timeout = min(timeout, clientTimeout)
 	}
 	return q.arrivedAt.Add(timeout)
--- a/transport/ingress/ingress_test.go
+++ b/transport/ingress/ingress_test.go
@@ -33,16 +33,16 @@
 
 func (plainDialect) RequestID(r *http.Request) string { return r.Header.Get("Id") }
 
-func (plainDialect) Patience(r *http.Request) (time.Duration, bool) {
+func (plainDialect) ClientTimeout(r *http.Request) (time.Duration, bool) {
 	ms, err := strconv.Atoi(r.Header.Get("Wait"))
 	return time.Duration(ms) * time.Millisecond, err == nil
 }
 
-func (plainDialect) Key(r *http.Request) (string, bool) {
+func (plainDialect) AffinityKey(r *http.Request) (string, bool) {
 	return r.Header.Get("Key"), r.Header.Get("Key") != ""
 }
 
-func (plainDialect) Address(h http.Header, id string, left time.Duration) {
+func (plainDialect) SetWorkerHeaders(h http.Header, id string, left time.Duration) {
 	h.Set("For", id)
 	h.Set("Wait", strconv.FormatInt(left.Milliseconds(), 10))
 }
@@ -63,7 +63,7 @@
 
 func (plainDialect) Leaving(h http.Header) bool { return h.Get("Leaving") != "" }
 
-func (plainDialect) Rest(status int, h http.Header) (time.Duration, bool) {
+func (plainDialect) Backoff(status int, h http.Header) (time.Duration, bool) {
 	rest, err := time.ParseDuration(h.Get("Rest"))
 	return rest, err == nil && status == http.StatusServiceUnavailable
 }
@@ -75,11 +75,11 @@
 	return upstream.KindShed, res.Header.Get("Not-Run") != ""
 }
 
-func (plainDialect) Belongs(req *upstream.Request, res *http.Response) bool {
+func (plainDialect) MatchesRequest(req *upstream.Request, res *http.Response) bool {
 	return req.Header.Get("Id") == res.Header.Get("Id")
 }
 
-func (plainDialect) WithoutLength() bool { return true }
+func (plainDialect) AllowsCloseDelimited() bool { return true }
 
 // fixture is a VM between a client and workers.
 type fixture struct {
--- a/transport/ingress/signals.go
+++ b/transport/ingress/signals.go
@@ -28,7 +28,7 @@
 		now := cfg.Now()
 		q.applySignal(c, worker.Leaving{DrainWindow: worker.DrainWindow{ObservedAt: now, Until: now.Add(cfg.LeavingGrace)}, From: worker.FromResponse})
 	}
-	if pause, asked := cfg.Dialect.Rest(status, header); asked {
+	if pause, asked := cfg.Dialect.Backoff(status, header); asked {
 		q.applySignal(c, worker.Rest{For: pause})
 	}
 	q.readRateLimit(c, status, header)
--- a/transport/upstream/client.go
+++ b/transport/upstream/client.go
@@ -172,11 +172,11 @@
 	// Refused reports whether a response declares that the request was not
 	// run, and the kind of the refusal.
 	Refused(res *http.Response) (Kind, bool)
-	// Belongs reports whether a response is the one to the request.
-	Belongs(req *Request, res *http.Response) bool
-	// WithoutLength reports whether a response may have neither a length nor
+	// MatchesRequest reports whether a response is the one to the request.
+	MatchesRequest(req *Request, res *http.Response) bool
+	// AllowsCloseDelimited reports whether a response may have neither a length nor
 	// chunked encoding, so that closing the connection ends its body.
-	WithoutLength() bool
+	AllowsCloseDelimited() bool
 }
 
 // defaultDialect uses HeaderRefused.
@@ -196,12 +196,12 @@
 	return 0, false
 }
 
-// Belongs implements Dialect.
-func (defaultDialect) Belongs(*Request, *http.Response) bool { return true }
+// MatchesRequest implements Dialect.
+func (defaultDialect) MatchesRequest(*Request, *http.Response) bool { return true }
 
-// WithoutLength implements Dialect. Close-delimited bodies are not allowed, since
+// AllowsCloseDelimited implements Dialect. Close-delimited bodies are not allowed, since
 // a truncated one could not be told from a complete one (RFC 9112, section 6.3).
-func (defaultDialect) WithoutLength() bool { return false }
+func (defaultDialect) AllowsCloseDelimited() bool { return false }
 
 const (
 	defaultProgressTimeout = 30 * time.Second
--- a/transport/upstream/dialect_test.go
+++ b/transport/upstream/dialect_test.go
@@ -23,11 +23,11 @@
 	return upstream.KindWrongWorker, res.StatusCode == http.StatusMisdirectedRequest
 }
 
-func (numberedDialect) Belongs(req *upstream.Request, res *http.Response) bool {
+func (numberedDialect) MatchesRequest(req *upstream.Request, res *http.Response) bool {
 	return res.Header.Get("Number") == req.Header.Get("Number") || res.StatusCode == http.StatusMisdirectedRequest
 }
 
-func (numberedDialect) WithoutLength() bool { return true }
+func (numberedDialect) AllowsCloseDelimited() bool { return true }
 
 func newNumberedClient(t *testing.T, maxIdle time.Duration) *upstream.Client {
 	c := upstream.New(upstream.Config{ProgressTimeout: 2 * time.Second, Dialect: numberedDialect{}, AtMostOnceMaxIdle: maxIdle})
--- a/transport/upstream/exchange.go
+++ b/transport/upstream/exchange.go
@@ -153,7 +153,7 @@
 
 func (x *exchange) response(res *http.Response) (*Response, error) {
 	closeDelimited := res.ContentLength < 0 && len(res.TransferEncoding) == 0 && res.Body != http.NoBody
-	if closeDelimited && !x.client.cfg.Dialect.WithoutLength() {
+	if closeDelimited && !x.client.cfg.Dialect.AllowsCloseDelimited() {
 		x.release(false)
 		return nil, &Error{kind: KindBroken, step: "answer has neither length nor chunks", worker: x.worker.ID}
 	}
@@ -178,7 +178,7 @@
 		if res.StatusCode < http.StatusOK && res.StatusCode != http.StatusSwitchingProtocols {
 			continue
 		}
-		if x.client.cfg.Dialect.Belongs(x.req, res) {
+		if x.client.cfg.Dialect.MatchesRequest(x.req, res) {
 			return res, nil
 		}
 		stale++
@@ -216,7 +216,7 @@
 func (x *exchange) releaseRefused(res *http.Response) {
 	// A 421 response does not identify its request, so a late duplicate of it
 	// could be taken for the response to the next request.
-	unmatched := !x.client.cfg.Dialect.Belongs(x.req, res) || res.StatusCode == http.StatusMisdirectedRequest
+	unmatched := !x.client.cfg.Dialect.MatchesRequest(x.req, res) || res.StatusCode == http.StatusMisdirectedRequest
 	reuse := !unmatched && x.fullySent() && !res.Close && discardResponse(res) == nil && x.conn.reader.Buffered() == 0
 	x.conn.applyKeepAlive(res.Header.Get("Keep-Alive"))
 	x.release(reuse)
