--- a/coordination/outlier/outlier.go
+++ b/coordination/outlier/outlier.go
@@ -7,7 +7,7 @@
 // A single VM sends a worker too few requests to detect this quickly, so VMs aggregate
 // their outcomes: each VM evaluates its own, and the VM that watches the store for a
 // region evaluates those of all VMs that query it. A VM reports a worker only when it has
-// failed, with the answers shortly before, so the aggregated failure ratio is too high
+// failed, with the successes shortly before, so the aggregated failure ratio is too high
 // rather than too low; the minimum number of failures guards against that. A worker that
 // is detected is ejected for a while, and for twice as long each time it is detected again
 // soon after. Between ejections it gets requests like any other worker, so that one that
@@ -16,7 +16,7 @@
 // # Usage
 //
 //	detector := outlier.New(outlier.Config{Now: time.Now})
-//	detector.AddOutcomes(map[string]worker.Outcomes{"w-1": {Answered: 4, Failed: 3}})
+//	detector.AddOutcomes(map[string]worker.Outcomes{"w-1": {Succeeded: 4, Failed: 3}})
 //	for id, left := range detector.Ejected() { /* send id nothing for the time left */ }
 package outlier
 
@@ -60,17 +60,17 @@
 
 // workerStats holds the decaying counts and the ejection state of one worker.
 type workerStats struct {
-	answered, failed float64
-	updatedAt        time.Time
-	ejection         time.Duration
-	ejectedAt        time.Time
-	ejectedUntil     time.Time
+	succeeded, failed float64
+	updatedAt         time.Time
+	ejection          time.Duration
+	ejectedAt         time.Time
+	ejectedUntil      time.Time
 }
 
 // New returns a Detector without outcomes.
 func New(cfg Config) *Detector { return &Detector{cfg: cfg, workers: make(map[string]*workerStats)} }
 
-// AddOutcomes adds outcomes by worker id.
+// AddOutcomes adds outcomes by incarnation ID.
 func (d *Detector) AddOutcomes(outcomes map[string]worker.Outcomes) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -90,10 +90,10 @@
 
 func (s *workerStats) add(o worker.Outcomes, now time.Time) {
 	decay := math.Exp(-now.Sub(s.updatedAt).Seconds() / decayTime.Seconds())
-	s.answered = s.answered*decay + float64(o.Succeeded)
+	s.succeeded = s.succeeded*decay + float64(o.Succeeded)
 	s.failed = s.failed*decay + float64(o.Failed)
 	s.updatedAt = now
-	if s.failed < minFailures || s.failed < minFailureRatio*(s.answered+s.failed) || now.Before(s.ejectedUntil) {
+	if s.failed < minFailures || s.failed < minFailureRatio*(s.succeeded+s.failed) || now.Before(s.ejectedUntil) {
 		return
 	}
 	if now.Sub(s.ejectedAt) > resetAfter {
@@ -103,7 +103,7 @@
 	s.ejectedAt, s.ejectedUntil = now, now.Add(s.ejection)
 	// After an ejection half of the failures are enough, since the worker has failed
 	// before.
-	s.answered, s.failed = 0, minFailures/2
+	s.succeeded, s.failed = 0, minFailures/2
 }
 
 // dropStale removes the workers without recent outcomes, or all if too many remain.
@@ -118,7 +118,7 @@
 	}
 }
 
-// Ejected returns the workers that are ejected now, and how much longer.
+// Ejected returns how much longer workers are ejected, by incarnation ID.
 func (d *Detector) Ejected() map[string]time.Duration {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/coordination/placement/eligible.go
+++ b/coordination/placement/eligible.go
@@ -15,8 +15,7 @@
 
 // eligible groups the workers of a service that match a request by availability.
 type eligible struct {
-	// available workers may get the request now, resting ones after the pause they asked
-	// for.
+	// available workers may get the request now, resting ones after the rest they asked for.
 	available, resting []*worker.Worker
 	// ended workers are shutting down, and their deadline for new requests has passed.
 	ended []*worker.Worker
@@ -26,7 +25,7 @@
 	now           time.Time
 }
 
-// availableOrResting returns the workers that may get the request now or after a pause.
+// availableOrResting returns the workers that may get the request now or after a rest.
 func (e eligible) availableOrResting() []*worker.Worker {
 	if len(e.resting) == 0 {
 		return e.available
@@ -45,7 +44,7 @@
 	return others
 }
 
-// addResting adds a worker that has asked for a pause until a time.
+// addResting adds a worker that has asked for a rest until a time.
 func (e *eligible) addResting(w *worker.Worker, until time.Time) {
 	if len(e.resting) == 0 || until.Before(e.resumesAt) {
 		e.firstToResume, e.resumesAt = w, until
@@ -53,9 +52,9 @@
 	e.resting = append(e.resting, w)
 }
 
-// maxSparedShare is the largest fraction of a service's workers that may be spared
-// (ejected for failures), so that the others can carry the load.
-const maxSparedShare = 1.0 / 3
+// maxEjectedShare is the largest fraction of a service's workers that may be
+// excluded as ejected, so that the others can carry the load.
+const maxEjectedShare = 1.0 / 3
 
 // drained reports whether an operator has drained a service out of a hall. Its workers get
 // no requests then, even if the targets of the move are full.
@@ -72,32 +71,32 @@
 }
 
 // eligibleWorkers returns the workers that may get the request. Workers that failed
-// recently are used only if no others are available, and spared ones only if they exceed
-// maxSparedShare. Resting and ended workers never get a request.
+// recently are used only if no others are available, and ejected ones only if they exceed
+// maxEjectedShare. Resting and ended workers never get a request.
 func (p *Placer) eligibleWorkers(s *Snapshot, r Request) eligible {
 	all := s.Workers.Track(r.Service, r.Track)
 	e := eligible{available: make([]*worker.Worker, 0, len(all)), now: p.cfg.Now()}
-	var paused, spared []*worker.Worker
-	standings := p.cfg.Loads.AvailabilityView()
+	var paused, ejected []*worker.Worker
+	view := p.cfg.Loads.AvailabilityView()
 	for _, w := range all {
 		if slices.Contains(r.Tried, w.ID) || r.Allows != nil && !r.Allows(w.Region) || s.drained(r.Service, w.Hall) {
 			continue
 		}
-		switch standing := s.standing(standings, w, e.now).(type) {
+		switch availability := s.availability(view, w, e.now).(type) {
 		case worker.Departed:
 			e.ended = append(e.ended, w)
 		case worker.Resting:
-			e.addResting(w, standing.Until)
+			e.addResting(w, availability.Until)
 		case worker.Paused:
 			paused = append(paused, w)
 		case worker.Ejected:
-			spared = append(spared, w)
+			ejected = append(ejected, w)
 		case worker.Ready, worker.Limited:
 			e.available = append(e.available, w)
 		}
 	}
-	if float64(len(spared)) > maxSparedShare*float64(len(e.available)+len(spared)) {
-		e.available = append(e.available, spared...)
+	if float64(len(ejected)) > maxEjectedShare*float64(len(e.available)+len(ejected)) {
+		e.available = append(e.available, ejected...)
 	}
 	if len(e.available) == 0 {
 		e.available = paused
@@ -122,7 +121,7 @@
 	return p.refuseResting(e.firstToResume, e.now, nil)
 }
 
-// refuseResting refuses a request until the pause of a worker is over.
+// refuseResting refuses a request until the rest of a worker is over.
 func (p *Placer) refuseResting(w *worker.Worker, now time.Time, considered []Considered) (Choice, Refusal) {
 	choice := Choice{skippedHolder: p.describeUnavailable(w, now), considered: considered}
 	if resting, ok := p.cfg.Loads.Availability(w, now).(worker.Resting); ok {
--- a/coordination/placement/handover.go
+++ b/coordination/placement/handover.go
@@ -43,15 +43,15 @@
 	return leaving, leaves
 }
 
-// standing returns the standing of a worker, taking into account whether its hall is
-// closed.
-func (s *Snapshot) standing(all worker.AvailabilityView, w *worker.Worker, now time.Time) worker.Availability {
+// availability returns the availability of a worker, taking into account whether its hall
+// is closed.
+func (s *Snapshot) availability(view worker.AvailabilityView, w *worker.Worker, now time.Time) worker.Availability {
 	if s.Closed[w.Hall] {
 		if closing, _ := s.hallClosing(w.Hall); !closing.Open(now) {
 			return worker.Departed{Leaving: closing}
 		}
 	}
-	return all.Get(w, now)
+	return view.Get(w, now)
 }
 
 // preferSuccessors ranks workers that are shutting down last, for a request that is sent
--- a/coordination/placement/placement.go
+++ b/coordination/placement/placement.go
@@ -63,7 +63,7 @@
 	// RefusalBusy means that the holders of the key are full.
 	RefusalBusy Refusal = "busy"
 	// RefusalResting means that the holder of the key, or every eligible worker, has asked
-	// for a pause and that the others are full. Choice.RetryAfter returns the remaining
+	// for a rest and that the others are full. Choice.RetryAfter returns the remaining
 	// time.
 	RefusalResting Refusal = "resting"
 	// RefusalCold means that only cold workers are left and that their rate is used up.
@@ -140,10 +140,10 @@
 	// which it would have been chosen. Both are 0 for a cold worker.
 	Busy, MaxBusy float64
 	Cold          bool
-	// Limited is set if no permit was available for the worker. PerS is the rate that it
+	// Limited is set if no permit was available for the worker. PerSecond is the rate that it
 	// takes from all VMs, in requests per second.
-	Limited bool
-	PerS    float64
+	Limited   bool
+	PerSecond float64
 }
 
 // String returns a description for logs.
@@ -152,7 +152,7 @@
 		return c.ID + " in " + c.Region + ": cold, rate used up"
 	}
 	if c.Limited {
-		return fmt.Sprintf("%s in %s: takes %.1f a second from all VMs, used up", c.ID, c.Region, c.PerS)
+		return fmt.Sprintf("%s in %s: takes %.1f a second from all VMs, used up", c.ID, c.Region, c.PerSecond)
 	}
 	return fmt.Sprintf("%s in %s: %.1f busy, room below %.1f", c.ID, c.Region, c.Busy, c.MaxBusy)
 }
@@ -257,7 +257,7 @@
 }
 
 // chooseAvailable chooses an available worker. The destination of a key does not depend on
-// resting workers, since their pauses are short and differ between VMs.
+// resting workers, since their rests are short and differ between VMs.
 func (p *Placer) chooseAvailable(s *Snapshot, r Request, workers eligible, dest destination) (Choice, Refusal) {
 	choice, refusal := p.chooseAtDestination(s, r, workers.available, dest)
 	if refusal == RefusalNone {
--- a/coordination/placement/placement_test.go
+++ b/coordination/placement/placement_test.go
@@ -123,22 +123,22 @@
 	})
 }
 
-func TestSparedWorkers(t *testing.T) {
+func TestEjectedWorkers(t *testing.T) {
 	cases := map[string]struct {
-		spared int
-		want   bool // whether spared workers get requests
+		ejected int
+		want    bool // whether ejected workers get requests
 	}{
-		"a third is spared": {2, false},
-		"half would be":     {3, true},
+		"a third is ejected": {2, false},
+		"half is ejected":    {3, true},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
 			f := newFixture(map[string]int{"north": 6}, nil)
-			spared := make(map[string]bool)
-			for i := range c.spared {
+			ejected := make(map[string]bool)
+			for i := range c.ejected {
 				id := fmt.Sprintf("north-%d", i)
 				f.loads.GetOrCreate(id).Eject(time.Minute)
-				spared[id] = true
+				ejected[id] = true
 			}
 			got := false
 			for key := range uint64(200) {
@@ -146,11 +146,11 @@
 				if refusal != placement.RefusalNone {
 					t.Fatal(refusal)
 				}
-				got = got || spared[choice.Worker().ID]
+				got = got || ejected[choice.Worker().ID]
 				choice.Load().End()
 			}
 			if got != c.want {
-				t.Errorf("spared workers got requests: %t, want %t", got, c.want)
+				t.Errorf("ejected workers got requests: %t, want %t", got, c.want)
 			}
 		})
 	}
--- a/coordination/placement/search.go
+++ b/coordination/placement/search.go
@@ -20,10 +20,10 @@
 
 // Permits issues permits for workers that limit their rate over all VMs.
 type Permits interface {
-	// Acquire takes a permit to send one request to a worker that takes perS requests per
-	// second. Priority 0 is the most urgent. Without a permit it returns the time after
+	// Acquire takes a permit to send one request to a worker that takes perSecond requests
+	// per second. Priority 0 is the most urgent. Without a permit it returns the time after
 	// which to ask again. It may call another VM and wait for the answer.
-	Acquire(w *worker.Worker, perS float64, priority int) (wait time.Duration, ok bool)
+	Acquire(w *worker.Worker, perSecond float64, priority int) (wait time.Duration, ok bool)
 }
 
 // unlimitedPermits grants every permit.
@@ -71,7 +71,7 @@
 // tryAdmit reports whether a worker may get the request, and records the reason if not.
 func (s *search) tryAdmit(w *worker.Worker, region string) bool {
 	p := s.placer
-	perS, limited := p.cfg.Loads.RateLimit(w)
+	perSecond, limited := p.cfg.Loads.RateLimit(w)
 	if limited && s.denied >= s.denialLimit {
 		return false
 	}
@@ -91,18 +91,18 @@
 	if !limited {
 		return true
 	}
-	wait, ok := p.cfg.Permits.Acquire(w, perS, s.request.Priority)
+	wait, ok := p.cfg.Permits.Acquire(w, perSecond, s.request.Priority)
 	if !ok {
-		s.deny(perS, wait)
+		s.deny(perSecond, wait)
 	}
 	return ok
 }
 
 // deny records that there is no permit for the last worker. Its keys move to other workers
 // like those of a resting worker.
-func (s *search) deny(perS float64, wait time.Duration) {
+func (s *search) deny(perSecond float64, wait time.Duration) {
 	last := &s.considered[len(s.considered)-1]
-	last.Limited, last.PerS = true, perS
+	last.Limited, last.PerSecond = true, perSecond
 	if s.denied == 0 || wait < s.retryAfter {
 		s.retryAfter = wait
 	}
--- a/coordination/placement/signals_test.go
+++ b/coordination/placement/signals_test.go
@@ -130,7 +130,7 @@
 	f.clock.Advance(1300 * time.Millisecond)
 	for key, w := range holders() {
 		if w.ID != before[key].ID {
-			t.Errorf("key %d is still at %s after the pause", key, w.ID)
+			t.Errorf("key %d is still at %s after the rest", key, w.ID)
 		}
 	}
 }
--- a/coordination/ratelimit/borrower.go
+++ b/coordination/ratelimit/borrower.go
@@ -20,10 +20,11 @@
 	maxExhausted = 4096
 )
 
-// RequestCounts maps the name of a workspace or worker to the number of requests wanted for it.
+// RequestCounts maps the name of a workspace or the incarnation ID of a worker to the number
+// of requests wanted for it.
 type RequestCounts map[string]int
 
-// Grants maps the name of a workspace or worker to the grant for it.
+// Grants maps the name of a workspace or the incarnation ID of a worker to the grant for it.
 type Grants map[string]Grant
 
 // BorrowerConfig configures a Borrower. All fields are required.
--- a/coordination/ratelimit/issuer.go
+++ b/coordination/ratelimit/issuer.go
@@ -105,12 +105,12 @@
 }
 
 // Retain removes the workers for which keep returns false.
-func (i *Issuer) Retain(keep func(life string) bool) {
+func (i *Issuer) Retain(keep func(incarnation string) bool) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
-	for life := range i.workers {
-		if !keep(life) {
-			delete(i.workers, life)
+	for incarnation := range i.workers {
+		if !keep(incarnation) {
+			delete(i.workers, incarnation)
 		}
 	}
 }
--- a/coordination/ratelimit/issuer_test.go
+++ b/coordination/ratelimit/issuer_test.go
@@ -18,7 +18,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		now := time.Unix(0, 0)
 		clock := func() time.Time { return now }
-		perS := rapid.SampledFrom([]float64{0, 0.4, 3, 30}).Draw(t, "limit")
+		perSecond := rapid.SampledFrom([]float64{0, 0.4, 3, 30}).Draw(t, "limit")
 		issuers := make([]*ratelimit.Issuer, listed)
 		for i := range issuers {
 			issuers[i] = ratelimit.NewIssuer(clock)
@@ -45,7 +45,7 @@
 				}
 			}
 			for _, vm := range vms {
-				g := issuers[vm].Issue(ratelimit.Demand{Instance: "w", RatePerSecond: perS, LiveVMs: live(vm), ListedVMs: listed, Requests: 3})
+				g := issuers[vm].Issue(ratelimit.Demand{Instance: "w", RatePerSecond: perSecond, LiveVMs: live(vm), ListedVMs: listed, Requests: 3})
 				for range g.Requests {
 					ran = append(ran, now)
 				}
@@ -56,7 +56,7 @@
 			for last.Sub(ran[first]) >= window {
 				first++
 			}
-			if n, allowed := i-first+1, 1.5*perS*window.Seconds()+5; float64(n) > allowed {
+			if n, allowed := i-first+1, 1.5*perSecond*window.Seconds()+5; float64(n) > allowed {
 				t.Fatalf("%d requests in %s, %.1f allowed", n, window, allowed)
 			}
 		}
--- a/coordination/ratelimit/ratelimit.go
+++ b/coordination/ratelimit/ratelimit.go
@@ -22,8 +22,8 @@
 //
 // # Usage
 //
-//	own := ratelimit.NewLocalLimiter(ratelimit.Config{Bounds: bounds, VMs: listed, Now: time.Now})
-//	if !own.TakeToken("schools", limit) { /* query the pool with Borrower.TakeToken */ }
+//	local := ratelimit.NewLocalLimiter(ratelimit.Config{Bounds: bounds, VMs: listed, Now: time.Now})
+//	if !local.TakeToken("schools", limit) { /* query the pool with Borrower.TakeToken */ }
 package ratelimit
 
 import (
--- a/coordination/steer/steer.go
+++ b/coordination/steer/steer.go
@@ -53,8 +53,8 @@
 const (
 	shardCount = 16
 	// spareShareFactor is the multiple of the share up to which further clients may use
-	// credit that the clients within the share leave unused. Arrivals are random and an
-	// account holds little credit, so that much of it would expire otherwise.
+	// credit that the clients within the share leave unused. Arrivals are random and a
+	// bucket holds little credit, so that much of it would expire otherwise.
 	spareShareFactor = 2
 )
 
@@ -64,33 +64,33 @@
 	Hall string
 }
 
-// Steerer holds the accounts of moves and caps at one VM. It is safe for concurrent use.
+// Steerer holds the buckets of moves and caps at one VM. It is safe for concurrent use.
 type Steerer struct {
 	cfg    Config
 	shards [shardCount]shard
 }
 
 type shard struct {
-	mu       sync.RWMutex
-	accounts map[string]*quota.Bucket
+	mu      sync.RWMutex
+	buckets map[string]*quota.Bucket
 }
 
-// New returns a steerer without accounts.
+// New returns a steerer without buckets.
 func New(cfg Config) *Steerer {
 	s := &Steerer{cfg: cfg}
 	for i := range s.shards {
-		s.shards[i].accounts = make(map[string]*quota.Bucket)
+		s.shards[i].buckets = make(map[string]*quota.Bucket)
 	}
 	return s
 }
 
 // Candidate is the move that may apply to a request, if any.
 type Candidate struct {
-	rule    Rule
-	move    *spec.Move
-	target  string
-	account *quota.Bucket // of the move
-	caps    []*quota.Bucket
+	rule   Rule
+	move   *spec.Move
+	target string
+	bucket *quota.Bucket // of the move
+	caps   []*quota.Bucket
 	// spareOnly is set for a subject beyond the share, which is moved only on credit that
 	// would otherwise expire.
 	spareOnly bool
@@ -102,8 +102,8 @@
 // CapLimit returns the lowest limit of the caps that apply, or share.Whole without caps.
 func (c Candidate) CapLimit() share.PPM {
 	least := share.Whole
-	for _, a := range c.caps {
-		least = min(least, a.Limit())
+	for _, b := range c.caps {
+		least = min(least, b.Limit())
 	}
 	return least
 }
@@ -114,17 +114,17 @@
 // Target returns the target hall, or "" without a move.
 func (c Candidate) Target() string { return c.target }
 
-// Spend takes credit from the account of the move and from every cap, or from none of
+// Spend takes credit from the bucket of the move and from every cap, or from none of
 // them.
 func (c Candidate) Spend() bool {
 	if c.spareOnly {
-		return quota.TakeSurplus(c.account, c.caps...)
+		return quota.TakeSurplus(c.bucket, c.caps...)
 	}
-	return quota.TakeAll(append([]*quota.Bucket{c.account}, c.caps...)...)
+	return quota.TakeAll(append([]*quota.Bucket{c.bucket}, c.caps...)...)
 }
 
 // Refund returns the spent credit after the target has definitely refused the request.
-func (c Candidate) Refund() { quota.Refund(append([]*quota.Bucket{c.account}, c.caps...)...) }
+func (c Candidate) Refund() { quota.Refund(append([]*quota.Bucket{c.bucket}, c.caps...)...) }
 
 // SpendCaps takes credit from every cap, or from none, for a request that leaves its hall
 // through the balancing between regions.
@@ -146,33 +146,33 @@
 	chosen := Candidate{rule: RuleHome, caps: s.countForCaps(v, service, hall)}
 	for _, m := range v.Moves(service, hall) {
 		position, effective := share.Position(m.ID, subject), m.Effective()
-		a := s.account("move/"+m.ID, effective)
-		a.AddRequest()
+		b := s.bucket("move/"+m.ID, effective)
+		b.AddRequest()
 		if chosen.move != nil || position >= min(spareShareFactor*effective, share.Whole) {
 			continue
 		}
 		chosen.rule, chosen.move, chosen.target = RuleMove, m, chooseTarget(m, subject)
-		chosen.account, chosen.spareOnly = a, position >= effective
+		chosen.bucket, chosen.spareOnly = b, position >= effective
 	}
 	return chosen
 }
 
 func (s *Steerer) countForCaps(v *view.View, service, hall string) []*quota.Bucket {
-	var accounts []*quota.Bucket
+	var buckets []*quota.Bucket
 	for i := range v.Traffic().Caps {
 		c := &v.Traffic().Caps[i]
 		if !c.Covers(service, hall) {
 			continue
 		}
-		a := s.account(capAccountKey(c.ID, service, hall), c.Limit)
-		a.AddRequest()
-		accounts = append(accounts, a)
+		b := s.bucket(capBucketKey(c.ID, service, hall), c.Limit)
+		b.AddRequest()
+		buckets = append(buckets, b)
 	}
-	return accounts
+	return buckets
 }
 
-// capAccountKey returns the account key of a cap, which is counted per service and hall.
-func capAccountKey(id, service, hall string) string { return "cap/" + id + "/" + service + "/" + hall }
+// capBucketKey returns the bucket key of a cap, which is counted per service and hall.
+func capBucketKey(id, service, hall string) string { return "cap/" + id + "/" + service + "/" + hall }
 
 func chooseTarget(m *spec.Move, subject share.HashKey) string {
 	if len(m.Targets) == 1 {
@@ -185,23 +185,23 @@
 	return m.Targets[max(0, share.PickWeighted(m.ID, subject, weights))].Hall
 }
 
-func (s *Steerer) account(key string, limit share.PPM) *quota.Bucket {
+func (s *Steerer) bucket(key string, limit share.PPM) *quota.Bucket {
 	sh := &s.shards[xxhash.Sum64String(key)%shardCount]
 	sh.mu.RLock()
-	a, ok := sh.accounts[key]
+	b, ok := sh.buckets[key]
 	sh.mu.RUnlock()
 	if !ok {
 		sh.mu.Lock()
 		defer sh.mu.Unlock()
-		if a, ok = sh.accounts[key]; !ok {
-			a = quota.New(limit)
-			sh.accounts[key] = a
+		if b, ok = sh.buckets[key]; !ok {
+			b = quota.New(limit)
+			sh.buckets[key] = b
 		}
 	}
-	if a.Limit() != limit {
-		a.SetLimit(limit)
+	if b.Limit() != limit {
+		b.SetLimit(limit)
 	}
-	return a
+	return b
 }
 
 // Counts returns the total and the moved requests that this VM has counted for a move.
@@ -210,14 +210,14 @@
 	sh := &s.shards[xxhash.Sum64String(key)%shardCount]
 	sh.mu.RLock()
 	defer sh.mu.RUnlock()
-	a, ok := sh.accounts[key]
+	b, ok := sh.buckets[key]
 	if !ok {
 		return 0, 0
 	}
-	return a.Counts()
+	return b.Counts()
 }
 
-// Forget deletes the accounts of moves and caps that are no longer in a view.
+// Forget deletes the buckets of moves and caps that are no longer in a view.
 func (s *Steerer) Forget(v *view.View) {
 	keep := make(map[string]bool)
 	for _, m := range v.Traffic().Moves {
@@ -226,16 +226,16 @@
 	for _, c := range v.Traffic().Caps {
 		for _, service := range v.Services() {
 			for _, hall := range v.Fleet().Halls {
-				keep[capAccountKey(c.ID, service, hall.Name)] = true
+				keep[capBucketKey(c.ID, service, hall.Name)] = true
 			}
 		}
 	}
 	for i := range s.shards {
 		sh := &s.shards[i]
 		sh.mu.Lock()
-		for key := range sh.accounts {
+		for key := range sh.buckets {
 			if !keep[key] {
-				delete(sh.accounts, key)
+				delete(sh.buckets, key)
 			}
 		}
 		sh.mu.Unlock()
--- a/scripts/switch-off.sh
+++ b/scripts/switch-off.sh
@@ -46,13 +46,13 @@
 }
 off cap-credit state/quota/quota.go 'if b.tokens < requestCost {' 'if b.tokens < 0 {' ./state/quota TestCapHolds
 off common-cap coordination/steer/steer.go 'caps: s.countForCaps(v, service, hall)}' 'caps: s.countForCaps(v, service, hall)[:0]}' ./coordination/steer TestCommonCapBinds
-off step-share coordination/steer/steer.go 'a := s.account("move/"+m.ID, effective)' 'a := s.account("move/"+m.ID, m.Cap)' ./coordination/steer TestShareIsNotPassed
+off step-share coordination/steer/steer.go 'b := s.bucket("move/"+m.ID, effective)' 'b := s.bucket("move/"+m.ID, m.Cap)' ./coordination/steer TestShareIsNotPassed
 off caps-bind-balance coordination/placement/steer.go 'if !within || !c.SpendCaps() {' 'if false && (!within || !c.SpendCaps()) {' ./coordination/placement TestCapsLimitTheBalance
 off moves-steer coordination/placement/steer.go 'if c.Rule() != steer.RuleMove || !c.Spend() {' 'if true {' ./internal/gateway TestDrainOfAHall
 off write-known-again internal/gateway/traffic.go 'case err == nil && by == operation && at > 0:' 'case false && by == operation:' ./internal/gateway TestLostAnswerToAStop
 off lapse-grace internal/gateway/lapse.go 'if !now.Before(graceEnd) {' 'if true {' ./internal/gateway TestEntriesThatLapse
 off outliers-together internal/gateway/outliers.go 'if len(told) == 0 || len(told) > maxOutcomes {' 'if true {' ./internal/gateway TestVMsSpareAFailingWorkerTogether
-off most-spared coordination/placement/eligible.go 'if float64(len(spared)) > maxSparedShare' 'if false && float64(len(spared)) > maxSparedShare' ./coordination/placement TestSparedWorkers
+off most-spared coordination/placement/eligible.go 'if float64(len(ejected)) > maxEjectedShare' 'if false && float64(len(ejected)) > maxEjectedShare' ./coordination/placement TestEjectedWorkers
 off time-over-is-no-failure transport/ingress/attempt.go 'return errors.Is(err, context.DeadlineExceeded) ||' 'return false && errors.Is(err, context.DeadlineExceeded) &&' ./transport/ingress TestWorkerOutcomes
 off soak-once coordination/retry/retry.go 'case !a.NotRun && !a.Idempotent:' 'case false:' ./platform 'TestSoak$'
 off soak-drain state/worker/availability.go 'ok && !leaving.Open(now) {' 'ok && false && !leaving.Open(now) {' ./platform 'TestSoak$'
--- a/state/worker/availability.go
+++ b/state/worker/availability.go
@@ -16,7 +16,7 @@
 // Departed is a worker that is shutting down and whose time for new requests has passed.
 type Departed struct{ Leaving }
 
-// Resting is a worker that asked this VM for a pause.
+// Resting is a worker that asked this VM for a rest.
 type Resting struct{ Until time.Time }
 
 // Paused is a worker that failed just now. It is used only if no other worker is left.
--- a/state/worker/loads.go
+++ b/state/worker/loads.go
@@ -276,8 +276,8 @@
 // flight may still arrive for this long, also between distant regions.
 const exitObservationSkew = 200 * time.Millisecond
 
-// Span is a time during which one process of a worker is known to have lived, from the
-// opening of a connection to a response over it. Overlapping times are joined.
+// Span is a time during which one process of a worker is known to have been running, from
+// the opening of a connection to a response over it. Overlapping times are joined.
 type Span struct{ From, To time.Time }
 
 // contains reports whether a time lies within the span and outside the skew at its ends.
--- a/state/worker/signal_test.go
+++ b/state/worker/signal_test.go
@@ -77,8 +77,8 @@
 			}
 		}
 		clock.Advance(min(longest/5, 500*time.Millisecond) + time.Millisecond)
-		if standing, ready := loads.Availability(&w, clock.Now()).(worker.Ready); !ready {
-			t.Fatalf("%T after the rest, want Ready", standing)
+		if availability, ready := loads.Availability(&w, clock.Now()).(worker.Ready); !ready {
+			t.Fatalf("%T after the rest, want Ready", availability)
 		}
 		load.Begin()
 		if _, rests := loads.Availability(&w, clock.Now()).(worker.Resting); !rests {
--- a/transport/ingress/ingress.go
+++ b/transport/ingress/ingress.go
@@ -68,7 +68,7 @@
 	// RateLimit returns the rate, in requests per second, that a worker accepts from
 	// all VMs together, or math.Inf(1) if the response declares no limit. An error
 	// means that the limit in the response is malformed.
-	RateLimit(h http.Header) (perS float64, err error)
+	RateLimit(h http.Header) (perSecond float64, err error)
 }
 
 // Config configures a Handler. All fields are required except Retry and those whose
@@ -237,9 +237,9 @@
 	stripAPIKey bool
 	// service is the service chosen among the targets of the route.
 	service string
-	// share is this VM's share of the rollout of the service, nil if there is none.
+	// splitter is this VM's splitter of the rollout of the service, nil if there is none.
 	// track selects the workers for the next attempt.
-	share    *rollout.Splitter
+	splitter *rollout.Splitter
 	track    worker.Track
 	deadline time.Time
 	key      uint64
@@ -250,7 +250,8 @@
 	tried             []string
 	// sentAt is the start of the last attempt.
 	sentAt time.Time
-	// retryAfter is the time until a worker is available, if all of them back off.
+	// retryAfter is the time after which a worker may accept the request, if it was
+	// refused because of resting or rate-limited workers.
 	retryAfter time.Duration
 	// mayHaveRun is set once an attempt has failed without certainty that the
 	// worker did not run the request.
@@ -277,7 +278,7 @@
 		q.key = xxhash.Sum64String(q.id)
 	}
 	q.service = q.handler.split.Choose(q.route, q.key)
-	q.share = q.handler.cfg.Rollouts.Share(q.service)
+	q.splitter = q.handler.cfg.Rollouts.Share(q.service)
 	var err error
 	if q.body, err = readBody(q.req, s.Routes.Limits().MaxBodyBytes); err != nil {
 		q.rejectBody(err)
--- a/transport/ingress/records.go
+++ b/transport/ingress/records.go
@@ -174,10 +174,10 @@
 	if suppressed > 0 {
 		values = append(values, "left_out_before", suppressed)
 	}
-	q.handler.cfg.Log.Info("ingress: request "+outcomeWord(r.Rule), values...)
+	q.handler.cfg.Log.Info("ingress: request "+outcomeName(r.Rule), values...)
 }
 
-func outcomeWord(reason string) string {
+func outcomeName(reason string) string {
 	if reason == reasonLate {
 		return "late"
 	}
--- a/transport/ingress/rollout.go
+++ b/transport/ingress/rollout.go
@@ -13,7 +13,7 @@
 // Rollouts provides the services that have a rollout of a new version in progress. It
 // must be safe for concurrent use.
 type Rollouts interface {
-	// Share returns this VM's share of the rollout, or nil if there is none.
+	// Share returns the splitter of a service's rollout, or nil if there is none.
 	Share(service string) *rollout.Splitter
 }
 
@@ -25,14 +25,14 @@
 // place chooses a worker for the next attempt. If the new version has no capacity, it
 // falls back to the stable version, if the rollout allows that.
 func (q *request) place(s *placement.Snapshot, retrying bool) (placement.Choice, placement.Refusal) {
-	if q.share != nil {
-		q.track = q.share.ChooseTrack(q.route.Name, q.key, retrying)
+	if q.splitter != nil {
+		q.track = q.splitter.ChooseTrack(q.route.Name, q.key, retrying)
 	}
 	choice, refusal := q.handler.cfg.Placer.Place(s, q.placementRequest())
 	if refusal == placement.RefusalNone || q.track == worker.TrackStable {
 		return choice, refusal
 	}
-	if !q.share.WithdrawChoice() {
+	if !q.splitter.WithdrawChoice() {
 		return choice, refusal
 	}
 	q.track = worker.TrackStable
@@ -42,7 +42,7 @@
 // withdrawChoice returns an unused choice of the new version to the rollout.
 func (q *request) withdrawChoice() {
 	if q.track != worker.TrackStable {
-		q.share.WithdrawChoice()
+		q.splitter.WithdrawChoice()
 	}
 }
 
@@ -56,12 +56,12 @@
 // startRolloutAttempt counts the start of an attempt at a worker. The result does
 // nothing if no rollout is in progress.
 func (q *request) startRolloutAttempt(c placement.Choice) rolloutAttempt {
-	if q.share == nil {
+	if q.splitter == nil {
 		return rolloutAttempt{}
 	}
 	w, considered := c.Worker(), c.Considered()
 	cold := len(considered) > 0 && considered[len(considered)-1].Cold
-	return rolloutAttempt{rolloutTry: q.share.RecordSent(q.track, q.route.Name, w.Incarnation(), q.key), cold: cold}
+	return rolloutAttempt{rolloutTry: q.splitter.RecordSent(q.track, q.route.Name, w.Incarnation(), q.key), cold: cold}
 }
 
 // answered counts a complete response.
--- a/transport/ingress/signals.go
+++ b/transport/ingress/signals.go
@@ -28,8 +28,8 @@
 		now := cfg.Now()
 		q.applySignal(c, worker.Leaving{DrainWindow: worker.DrainWindow{ObservedAt: now, Until: now.Add(cfg.LeavingGrace)}, From: worker.FromResponse})
 	}
-	if pause, asked := cfg.Dialect.Rest(status, header); asked {
-		q.applySignal(c, worker.Rest{For: pause})
+	if rest, asked := cfg.Dialect.Rest(status, header); asked {
+		q.applySignal(c, worker.Rest{For: rest})
 	}
 	q.readRateLimit(c, status, header)
 	return waiting
@@ -39,8 +39,8 @@
 // earlier one only in a successful response, since errors may omit the header.
 func (q *request) readRateLimit(c placement.Choice, status int, header http.Header) {
 	cfg := &q.handler.cfg
-	perS, err := cfg.Dialect.RateLimit(header)
-	limit := worker.RateLimit{PerSecond: perS, SentAt: q.sentAt, ReceivedAt: cfg.Now(), From: worker.FromResponse}
+	perSecond, err := cfg.Dialect.RateLimit(header)
+	limit := worker.RateLimit{PerSecond: perSecond, SentAt: q.sentAt, ReceivedAt: cfg.Now(), From: worker.FromResponse}
 	switch {
 	case err != nil:
 		q.addInput("signal", c.Worker().ID+" names a limit that cannot be read: "+err.Error())
--- a/transport/ingress/signals_test.go
+++ b/transport/ingress/signals_test.go
@@ -73,7 +73,7 @@
 	time.Sleep(600 * time.Millisecond)
 }
 
-// Guards against sending requests to workers that asked for a pause, and refusals without the wait.
+// Guards against sending requests to workers that asked for a rest, and refusals without the wait.
 func TestBackoffSignal(t *testing.T) {
 	f := newFixture(t, 2, func(_ int, w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("Not-Run", "1")
