--- a/coordination/poison/poison_test.go
+++ b/coordination/poison/poison_test.go
@@ -104,7 +104,7 @@
 	}
 }
 
-// Guards against a repeat offender needing as many crashes as the first time.
+// Guards against a request with an earlier entry needing as many crashes as the first time.
 func TestRepeatDetectionNeedsOneCrash(t *testing.T) {
 	Convey("After its term", t, func() {
 		clock := clockwork.NewFakeClock()
@@ -161,7 +161,7 @@
 }
 
 // Guards against quarantining harmless requests that were in flight at unrelated crashes.
-func TestUnrelatedCrashesRarelyCondemnRequests(t *testing.T) {
+func TestUnrelatedCrashesRarelyQuarantineRequests(t *testing.T) {
 	const days, crashes, slots, popular, tries = 200, 60, 9, 40, 4
 	cases := map[string]struct {
 		crashRate float64
--- a/coordination/ratelimit/issuer_test.go
+++ b/coordination/ratelimit/issuer_test.go
@@ -24,20 +24,20 @@
 			issuers[i] = ratelimit.NewIssuer(clock)
 		}
 		live := func(int) int { return listed }
-		asked := []int{0}
+		issuerVMs := []int{0}
 		scenario := rapid.SampledFrom([]string{"calm", "halves", "all alone", "issuers change"}).Draw(t, "what happens")
 		switch scenario {
 		case "halves":
-			asked, live = []int{0, 6}, func(int) int { return listed / 2 }
+			issuerVMs, live = []int{0, 6}, func(int) int { return listed / 2 }
 		case "all alone":
-			asked, live = []int{0, 1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11}, func(int) int { return 1 }
+			issuerVMs, live = []int{0, 1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11}, func(int) int { return 1 }
 		case "issuers change":
-			asked = nil
+			issuerVMs = nil
 		}
 		var ran []time.Time
 		for step := range 1200 {
 			now = now.Add(10 * time.Millisecond)
-			vms := asked
+			vms := issuerVMs
 			if vms == nil {
 				vms = []int{step / 150 % 2}
 				if step%150 == 0 {
--- a/coordination/ratelimit/ratelimit_test.go
+++ b/coordination/ratelimit/ratelimit_test.go
@@ -33,7 +33,7 @@
 	rate         float64
 	started      time.Duration // in fleet time
 	processStart uint64
-	own          *ratelimit.LocalLimiter
+	local        *ratelimit.LocalLimiter
 	pool         *ratelimit.Pool
 	lender       *ratelimit.Lender
 	frozen       time.Duration // frozen until this fleet time
@@ -53,8 +53,8 @@
 	ran []time.Duration
 	// inFlight are messages that are not delivered yet.
 	inFlight []message
-	// asked and served count requests.
-	asked, served int
+	// requested and served count requests.
+	requested, served int
 }
 
 // message is a loan message in transit.
@@ -76,7 +76,7 @@
 	v.started, v.processStart = v.f.now, v.processStart+1
 	v.pool = ratelimit.NewPool(bounds, v.clock)
 	v.lender = ratelimit.NewLender(v.clock)
-	v.own = ratelimit.NewLocalLimiter(ratelimit.Config{Bounds: bounds, VMs: func() int { return v.f.listed }, Now: v.clock})
+	v.local = ratelimit.NewLocalLimiter(ratelimit.Config{Bounds: bounds, VMs: func() int { return v.f.listed }, Now: v.clock})
 }
 
 func newFleet(size int, limit workspace.Limit, rate func(i int) float64) *fleet {
@@ -130,8 +130,8 @@
 
 // request sends one request to a VM.
 func (f *fleet) request(v *vm) {
-	f.asked++
-	if v.own.TakeToken("w", f.limit) {
+	f.requested++
+	if v.local.TakeToken("w", f.limit) {
 		f.recordRun()
 		return
 	}
@@ -307,15 +307,15 @@
 }
 
 // tally sums up requests.
-type tally struct{ asked, served int }
+type tally struct{ requested, served int }
 
 // add adds the requests that a fleet has counted, and resets its counters.
 func (p *tally) add(f *fleet) {
-	p.asked, p.served = p.asked+f.asked, p.served+f.served
-	f.asked, f.served = 0, 0
+	p.requested, p.served = p.requested+f.requested, p.served+f.served
+	f.requested, f.served = 0, 0
 }
 
-func (p *tally) fraction() float64 { return float64(p.served) / float64(p.asked) }
+func (p *tally) fraction() float64 { return float64(p.served) / float64(p.requested) }
 
 // Guards against isolated VMs refusing all requests: they serve from their own shares.
 func TestIsolatedVMsServe(t *testing.T) {
@@ -331,7 +331,7 @@
 				v.group = i
 			}
 			f.simulate(12*time.Second, moderateLoad(uint64(c.rate), limit, vms))
-			fraction := float64(f.served) / float64(f.asked)
+			fraction := float64(f.served) / float64(f.requested)
 			t.Logf("%.4f pass", fraction)
 			if fraction < c.least {
 				t.Errorf("%.4f of the requests pass, want %.2f", fraction, c.least)
--- a/coordination/rollout/rollout_test.go
+++ b/coordination/rollout/rollout_test.go
@@ -152,7 +152,7 @@
 	})
 }
 
-// Guards against losing requests that new workers cannot hold, or using closed old workers.
+// Guards against losing requests that new workers cannot serve, or using closed old workers.
 func TestOldWorkersServeWhatNewOnesCannot(t *testing.T) {
 	Convey("A proved version whose workers are full", t, func() {
 		s := rolling.NewSplitter(rolling.SplitterConfig{Service: "s", Version: 2, MaxFraction: 0.1, Now: func() time.Time { return time.Unix(1000, 0) }})
