--- a/scripts/switch-off.sh
+++ b/scripts/switch-off.sh
@@ -98,7 +98,7 @@
 off strangers-are-bounded internal/gateway/keys.go 'if now.Sub(k.last) < keyQuestionInterval {' 'if false {' ./internal/gateway TestStrangersAreNoLever
 off quota-loans-end coordination/ratelimit/pool.go 'if !l.Until.After(now) && (first.VM' 'if false && (first.VM' ./coordination/ratelimit TestNoWindowExceedsTheLimit
 off quota-one-pool coordination/ratelimit/lender.go 'if pool != l.pool && now.Before(l.until) {' 'if false {' ./coordination/ratelimit TestRestartsAndNewPoolsAddNoTokens
-off quota-starts-empty coordination/ratelimit/own.go 'b := &bucket{lastRefill: s.createdAt}' 'b := &bucket{lastRefill: s.createdAt, tokens: 1e9}' ./coordination/ratelimit TestRestartsAndNewPoolsAddNoTokens
+off quota-starts-empty coordination/ratelimit/local.go 'b := &bucket{lastRefill: s.createdAt}' 'b := &bucket{lastRefill: s.createdAt, tokens: 1e9}' ./coordination/ratelimit TestRestartsAndNewPoolsAddNoTokens
 off bound-slots coordination/placement/share.go 'if r.unrestricted(regions) {' 'if false {' ./coordination/placement TestPinnedRequestsReduceKeptKeys
 off quota-turns coordination/ratelimit/pool.go 'b.promised = b.promised.Add(time.Duration(float64(time.Second) / f.rate))' '_ = f' ./coordination/ratelimit TestRefusedRequestsComeBackInTurn
 off answer-time-is-not-held internal/gateway/teller.go 'answer.HeldMillis = uint32(held.Milliseconds())' 'answer.HeldMillis = uint32(time.Since(asked).Milliseconds())' ./internal/gateway TestTimeSpentOnAnAnswer
