--- a/coordination/placement/eligible.go
+++ b/coordination/placement/eligible.go
@@ -17,8 +17,8 @@
 type eligible struct {
 	// available workers may get the request now, resting ones after the rest they asked for.
 	available, resting []*worker.Worker
-	// ended workers are shutting down, and their deadline for new requests has passed.
-	ended []*worker.Worker
+	// departed workers are shutting down, and their deadline for new requests has passed.
+	departed []*worker.Worker
 	// firstToResume is the resting worker that is available first, at resumesAt.
 	firstToResume *worker.Worker
 	resumesAt     time.Time
@@ -72,7 +72,7 @@
 
 // eligibleWorkers returns the workers that may get the request. Workers that failed
 // recently are used only if no others are available, and ejected ones only if they exceed
-// maxEjectedShare. Resting and ended workers never get a request.
+// maxEjectedShare. Resting and departed workers never get a request.
 func (p *Placer) eligibleWorkers(s *Snapshot, r Request) eligible {
 	all := s.Workers.Track(r.Service, r.Track)
 	e := eligible{available: make([]*worker.Worker, 0, len(all)), now: p.cfg.Now()}
@@ -84,7 +84,7 @@
 		}
 		switch availability := s.availability(view, w, e.now).(type) {
 		case worker.Departed:
-			e.ended = append(e.ended, w)
+			e.departed = append(e.departed, w)
 		case worker.Resting:
 			e.addResting(w, availability.Until)
 		case worker.Paused:
@@ -144,7 +144,7 @@
 		return mix(r.Key ^ w.Hash())
 	}
 	first := c.worker
-	for _, w := range slices.Concat(e.resting, e.ended) {
+	for _, w := range slices.Concat(e.resting, e.departed) {
 		if w.Region == c.worker.Region && weight(w) > weight(first) {
 			first = w
 		}
--- a/coordination/placement/handover_test.go
+++ b/coordination/placement/handover_test.go
@@ -158,7 +158,7 @@
 }
 
 // Guards against requests to workers of a closed hall after their deadline.
-func TestEndedWorkersGetNothing(t *testing.T) {
+func TestDepartedWorkersGetNothing(t *testing.T) {
 	cases := map[string]struct {
 		left time.Duration
 		gets bool
--- a/coordination/placement/placement.go
+++ b/coordination/placement/placement.go
@@ -318,8 +318,8 @@
 	if now.Before(w.ColdUntil) || now.Before(s.HallColdUntil[w.Hall]) {
 		return true
 	}
-	load, limited := p.cfg.Loads.Constrained()[w.Incarnation()]
-	if !limited {
+	load, constrained := p.cfg.Loads.Constrained()[w.Incarnation()]
+	if !constrained {
 		return false
 	}
 	confirmed := p.cfg.Confirmed()
