--- a/coordination/ratelimit/issuer.go
+++ b/coordination/ratelimit/issuer.go
@@ -34,8 +34,8 @@
 
 // Demand is a query for requests to a worker that states a limit.
 type Demand struct {
-	// Instance identifies the worker's process.
-	Instance string
+	// Incarnation identifies the worker's process.
+	Incarnation string
 	// RatePerSecond is the worker's limit in requests a second.
 	RatePerSecond float64
 	// LiveVMs and ListedVMs are the numbers of VMs of the worker's region that the issuer
@@ -82,13 +82,13 @@
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	now := i.now()
-	b, ok := i.workers[d.Instance]
+	b, ok := i.workers[d.Incarnation]
 	if !ok {
 		if len(i.workers) >= maxIssuerWorkers {
 			clear(i.workers)
 		}
 		b = &issuerBucket{}
-		i.workers[d.Instance] = b
+		i.workers[d.Incarnation] = b
 	}
 	params := bucketParams{rate: d.rate(), capacity: issuedBurst}
 	b.refill(params, now)
--- a/coordination/ratelimit/issuer_test.go
+++ b/coordination/ratelimit/issuer_test.go
@@ -45,7 +45,7 @@
 				}
 			}
 			for _, vm := range vms {
-				g := issuers[vm].Issue(ratelimit.Demand{Instance: "w", RatePerSecond: perSecond, LiveVMs: live(vm), ListedVMs: listed, Requests: 3})
+				g := issuers[vm].Issue(ratelimit.Demand{Incarnation: "w", RatePerSecond: perSecond, LiveVMs: live(vm), ListedVMs: listed, Requests: 3})
 				for range g.Requests {
 					ran = append(ran, now)
 				}
@@ -89,7 +89,7 @@
 					if every == 0 || step%every != 0 {
 						continue
 					}
-					g := issuer.Issue(ratelimit.Demand{Instance: "w", RatePerSecond: limit, LiveVMs: 1, ListedVMs: 1, Priority: priority, Requests: 1})
+					g := issuer.Issue(ratelimit.Demand{Incarnation: "w", RatePerSecond: limit, LiveVMs: 1, ListedVMs: 1, Priority: priority, Requests: 1})
 					asked[priority]++
 					got[priority] += float64(g.Requests)
 					if g.Requests == 0 && (g.RetryAfter <= 0 || g.RetryAfter > time.Second) {
--- a/internal/experiment/limits.go
+++ b/internal/experiment/limits.go
@@ -165,7 +165,7 @@
 	m.asked++
 	m.waited += way
 	m.after(way/2, func() {
-		g := m.issuer.Issue(ratelimit.Demand{Instance: "w", RatePerSecond: m.perS, LiveVMs: m.vms, ListedVMs: m.vms, Requests: 1})
+		g := m.issuer.Issue(ratelimit.Demand{Incarnation: "w", RatePerSecond: m.perS, LiveVMs: m.vms, ListedVMs: m.vms, Requests: 1})
 		m.after(way/2, func() {
 			if g.Requests > 0 {
 				m.runs(vm)
--- a/internal/gateway/permits.go
+++ b/internal/gateway/permits.go
@@ -113,7 +113,7 @@
 		return ratelimit.Grant{RetryAfter: noIssuerRetryAfter}
 	}
 	return p.issuer.Issue(ratelimit.Demand{
-		Instance: w.Incarnation(), RatePerSecond: ratePerSecond, LiveVMs: len(live), ListedVMs: listed, Priority: priority, Requests: wanted,
+		Incarnation: w.Incarnation(), RatePerSecond: ratePerSecond, LiveVMs: len(live), ListedVMs: listed, Priority: priority, Requests: wanted,
 	})
 }
 
--- a/internal/gateway/rollouts.go
+++ b/internal/gateway/rollouts.go
@@ -67,8 +67,8 @@
 	return r
 }
 
-// Share implements ingress.Rollouts.
-func (r *rollouts) Share(service string) *rolling.Splitter { return (*r.splitters.Load())[service] }
+// Splitter implements ingress.Rollouts.
+func (r *rollouts) Splitter(service string) *rolling.Splitter { return (*r.splitters.Load())[service] }
 
 // enabled reports whether rollout orders are enabled in this fleet.
 func (r *rollouts) enabled() bool { return r.maxFraction > 0 }
--- a/transport/ingress/ingress.go
+++ b/transport/ingress/ingress.go
@@ -278,7 +278,7 @@
 		q.key = xxhash.Sum64String(q.id)
 	}
 	q.service = q.handler.split.Choose(q.route, q.key)
-	q.splitter = q.handler.cfg.Rollouts.Share(q.service)
+	q.splitter = q.handler.cfg.Rollouts.Splitter(q.service)
 	var err error
 	if q.body, err = readBody(q.req, s.Routes.Limits().MaxBodyBytes); err != nil {
 		q.rejectBody(err)
--- a/transport/ingress/rollout.go
+++ b/transport/ingress/rollout.go
@@ -13,14 +13,14 @@
 // Rollouts provides the services that have a rollout of a new version in progress. It
 // must be safe for concurrent use.
 type Rollouts interface {
-	// Share returns the splitter of a service's rollout, or nil if there is none.
-	Share(service string) *rollout.Splitter
+	// Splitter returns the splitter of a service's rollout, or nil if there is none.
+	Splitter(service string) *rollout.Splitter
 }
 
 // noRollouts is the default Rollouts of a Handler.
 type noRollouts struct{}
 
-func (noRollouts) Share(string) *rollout.Splitter { return nil }
+func (noRollouts) Splitter(string) *rollout.Splitter { return nil }
 
 // place chooses a worker for the next attempt. If the new version has no capacity, it
 // falls back to the stable version, if the rollout allows that.
