--- a/coordination/poison/poison_test.go
+++ b/coordination/poison/poison_test.go
@@ -114,7 +114,7 @@
 			d.Add(poison.HangUp{Fingerprint: request("bad"), Worker: "w", At: clock.Now()})
 			entries := d.Detect()
 			for _, e := range entries {
-				table.Hear(e)
+				table.Merge(e)
 			}
 			clock.Advance(time.Second)
 			return entries
--- a/internal/gateway/compile.go
+++ b/internal/gateway/compile.go
@@ -67,14 +67,14 @@
 		started := clock.Now()
 		g.compile(started)
 		if g.snapshot.Load() != nil {
-			sleep(ctx, pauseAfter(clock.Since(started)))
+			sleep(ctx, compilePause(clock.Since(started)))
 		}
 		g.waitForChange(ctx, changed)
 	}
 }
 
-// pauseAfter returns how long to wait after a snapshot that took the given time.
-func pauseAfter(took time.Duration) time.Duration {
+// compilePause returns how long to wait after a snapshot that took the given time.
+func compilePause(took time.Duration) time.Duration {
 	return min(compilePauseFactor*took, maxCompilePause)
 }
 
@@ -142,7 +142,7 @@
 			continue
 		}
 		c.routes, c.pinnedShares = route.NewTable(cfg), cfg.Workspaces.HomeShares()
-		g.keyQuestions.clearBadKeys()
+		g.keyFetches.clearBadKeys()
 		g.cfg.Metrics.Generation(cfg.Version)
 		g.log.Info("config: in force", "version", cfg.Version, "revision", o.Revision, "routes", len(cfg.Routes),
 			"workspaces", cfg.Workspaces.Len())
--- a/internal/gateway/compile_test.go
+++ b/internal/gateway/compile_test.go
@@ -49,11 +49,11 @@
 func TestSnapshotDutyCycle(t *testing.T) {
 	const maxFraction = 1.0 / 20
 	for _, took := range []time.Duration{50 * time.Microsecond, 3 * time.Millisecond, 20 * time.Millisecond} {
-		if fraction := float64(took) / float64(took+gateway.PauseAfter(took)); fraction > maxFraction {
+		if fraction := float64(took) / float64(took+gateway.CompilePause(took)); fraction > maxFraction {
 			t.Errorf("snapshots of %s take %.2f of the time", took, fraction)
 		}
 	}
-	if pause := gateway.PauseAfter(time.Minute); pause > time.Second {
+	if pause := gateway.CompilePause(time.Minute); pause > time.Second {
 		t.Errorf("after a snapshot that took a minute, the next waits for %s", pause)
 	}
 }
--- a/internal/gateway/config.go
+++ b/internal/gateway/config.go
@@ -30,7 +30,7 @@
 var ErrConfig = errors.New("gateway: invalid settings")
 
 // ErrHistoryGone is returned by Store.Watch for a revision whose history the store no
-// longer keeps.
+// longer has.
 var ErrHistoryGone = errors.New("gateway: the store has forgotten that history")
 
 // Errors of a Store's calls on single objects.
@@ -51,8 +51,8 @@
 	// name. They may be some seconds old; the call is cheap.
 	Page(ctx context.Context, kind, after string) ([]object.Object, error)
 	// Watch returns the changes of a kind after a revision as soon as there are any,
-	// and at the latest after hold. It returns ErrHistoryGone if the history since the
-	// revision is no longer kept.
+	// and at the latest after hold. It returns ErrHistoryExpired if the history since the
+	// revision is no longer available.
 	Watch(ctx context.Context, kind string, since uint64, hold time.Duration) ([]object.Event, uint64, error)
 	// Put creates or replaces an object.
 	Put(ctx context.Context, kind, name string, spec []byte) error
@@ -113,7 +113,7 @@
 	// must take effect, such as a change of the routes or a worker that leaves.
 	ApplyWithin time.Duration
 	// RevokeWithin is the time after which a revoked API key must no longer be
-	// accepted. With StrictRevocation, a VM that has not heard from the store for that
+	// accepted. With StrictRevocation, a VM whose state the store has not confirmed for that
 	// long refuses requests that need a key; without it, the VM continues with its
 	// last known state.
 	RevokeWithin     time.Duration
@@ -138,16 +138,16 @@
 	// clients that look up entry addresses, Peer for other VMs and MetricsAddress for
 	// operators. Each is an IP:port; two may be equal where the handler is the same.
 	Ingress, Ready, Directory, Peer, MetricsAddress string
-	// Token authenticates operators that ask for explanations of requests. If it is
+	// Token authenticates operators that request explanations of requests. If it is
 	// empty, explanations are unavailable.
 	Token string
 	// LinkMbps is the bandwidth of this VM's link, in Mbit/s. VMs with high bandwidth
 	// distribute changes to the others. Default 0, which means unknown.
 	LinkMbps int
-	// Seeds are addresses of peers to ask if the store is unavailable at the start.
+	// Seeds are addresses of peers that serve state if the store is unavailable at the start.
 	Seeds []string
-	// FirstStart is set if the whole fleet starts for the first time. VMs then ask
-	// their peers first, which saves calls to the store.
+	// FirstStart is set if the whole fleet starts for the first time. VMs then request
+	// state from the seeds first, which saves calls to the store.
 	FirstStart bool
 	Bounds     Bounds
 
--- a/internal/gateway/copies_test.go
+++ b/internal/gateway/copies_test.go
@@ -22,8 +22,8 @@
 	"github.com/ryehill/ryehill/transport/peer"
 )
 
-// deltaAnswer returns an answer that holds a delta of one kind and the age of that kind.
-func deltaAnswer(kind string, bytes int) *peerpb.Synced {
+// deltaReply returns a reply that holds a delta of one kind and the age of that kind.
+func deltaReply(kind string, bytes int) *peerpb.Synced {
 	return &peerpb.Synced{
 		Deltas:    []*peerpb.Delta{{Kind: kind, Events: []*peerpb.ObjectEvent{{Spec: make([]byte, bytes)}}}},
 		AgeMillis: map[string]uint32{kind: 1},
@@ -31,33 +31,33 @@
 }
 
 // Guards against more than two large deltas in flight, and against an age sent without its delta.
-func TestLargePartsOfAnswersAreBounded(t *testing.T) {
+func TestLargePartsOfRepliesAreBounded(t *testing.T) {
 	const small, large, tooLarge = 1 << 10, 100 << 10, 1 << 20
 	bound, _ := gateway.NewLargePartLimits()
-	limitAnswer := func(bytes int) (bool, func()) {
-		answer := deltaAnswer(kindWorkers, bytes)
-		sent := bound(answer)
-		_, hasAge := answer.GetAgeMillis()[kindWorkers]
-		if hasAge != (len(answer.GetDeltas()) == 1) {
-			t.Errorf("%d deltas, age sent: %t", len(answer.GetDeltas()), hasAge)
+	limitReply := func(bytes int) (bool, func()) {
+		reply := deltaReply(kindWorkers, bytes)
+		sent := bound(reply)
+		_, hasAge := reply.GetAgeMillis()[kindWorkers]
+		if hasAge != (len(reply.GetDeltas()) == 1) {
+			t.Errorf("%d deltas, age sent: %t", len(reply.GetDeltas()), hasAge)
 		}
 		return hasAge, sent
 	}
-	if ok, _ := limitAnswer(tooLarge); ok {
-		t.Error("sent a delta that is too large for any answer")
+	if ok, _ := limitReply(tooLarge); ok {
+		t.Error("sent a delta that is too large for any reply")
 	}
-	firstSent, sent := limitAnswer(large)
-	secondSent, _ := limitAnswer(large)
-	thirdSent, _ := limitAnswer(large)
+	firstSent, sent := limitReply(large)
+	secondSent, _ := limitReply(large)
+	thirdSent, _ := limitReply(large)
 	if !firstSent || !secondSent || thirdSent {
 		t.Errorf("large deltas sent: %t, %t, %t, want the first two", firstSent, secondSent, thirdSent)
 	}
-	if ok, _ := limitAnswer(small); !ok {
+	if ok, _ := limitReply(small); !ok {
 		t.Error("a small delta waits for large ones")
 	}
 	sent()
-	if ok, _ := limitAnswer(large); !ok {
-		t.Error("an answer that has been sent still holds a slot")
+	if ok, _ := limitReply(large); !ok {
+		t.Error("a reply that has been sent still holds a slot")
 	}
 }
 
@@ -66,9 +66,9 @@
 	_, bound := gateway.NewLargePartLimits()
 	tables := 0
 	for range 3 {
-		answer := &peerpb.Synced{Balanced: &peerpb.Balanced{Keys: make([]uint64, 4096)}}
-		bound(answer)
-		if answer.GetBalanced() != nil {
+		reply := &peerpb.Synced{Balanced: &peerpb.Balanced{Keys: make([]uint64, 4096)}}
+		bound(reply)
+		if reply.GetBalanced() != nil {
 			tables++
 		}
 	}
@@ -83,8 +83,8 @@
 	f.startWorker("w2", "s", "north-a")
 	for name, takesListed := range map[string]bool{"older": false, "newer": true} {
 		t.Run(name, func(t *testing.T) {
-			ask := &peerpb.Sync{Since: map[string]uint64{kindWorkers: 1}, TakesListed: takesListed}
-			if d, ok := vms[0].DeltaFor(ask, kindWorkers); !ok || d.Full == takesListed || d.Listed != takesListed {
+			request := &peerpb.Sync{Since: map[string]uint64{kindWorkers: 1}, TakesListed: takesListed}
+			if d, ok := vms[0].DeltaFor(request, kindWorkers); !ok || d.Full == takesListed || d.Listed != takesListed {
 				t.Errorf("sent %+v", d)
 			}
 		})
@@ -92,7 +92,7 @@
 }
 
 // Guards against a missing object, revealed by a peer's listing, not being read from the store.
-func TestDoubtedKindIsReadFromTheStore(t *testing.T) {
+func TestInconsistentKindIsListed(t *testing.T) {
 	f, vms := startThreeVMs(t)
 	_, others := watcherOf(t, vms)
 	v := others[0]
@@ -125,10 +125,10 @@
 	for range askers {
 		requests.Go(func() {
 			for time.Since(start) < waitTimeout {
-				answer, sent := v.BeginSyncAnswer(context.Background(), &peerpb.Sync{HoldMillis: 350, Since: others})
-				hasWorkers := slices.ContainsFunc(answer.GetDeltas(), func(d *peerpb.Delta) bool { return d.GetKind() == kindWorkers })
+				reply, onSent := v.HandleSync(context.Background(), &peerpb.Sync{HoldMillis: 350, Since: others})
+				hasWorkers := slices.ContainsFunc(reply.GetDeltas(), func(d *peerpb.Delta) bool { return d.GetKind() == kindWorkers })
 				time.Sleep(10 * time.Millisecond)
-				sent()
+				onSent()
 				if hasWorkers {
 					complete.Add(1)
 					return
@@ -164,18 +164,18 @@
 				Handler: func(context.Context, peer.Identity, *peer.Stream, *peerpb.Envelope) {}, Log: logr.Discard(),
 			})
 			defer peers.Close()
-			ask := &peerpb.Envelope{Kind: &peerpb.Envelope_Sync{Sync: &peerpb.Sync{}}}
+			request := &peerpb.Envelope{Kind: &peerpb.Envelope_Sync{Sync: &peerpb.Sync{}}}
 			for range 2 {
-				s, err := peers.Open(context.Background(), peer.Target{VM: "a", Address: f.seeds[0]}, ask)
+				s, err := peers.Open(context.Background(), peer.Target{VM: "a", Address: f.seeds[0]}, request)
 				if err != nil {
 					t.Fatal(err)
 				}
-				time.Sleep(500 * time.Millisecond) // Wait until the answer is in flight.
+				time.Sleep(500 * time.Millisecond) // Wait until the reply is in flight.
 				abandon(s)
 			}
 			f.waitWithin(2*time.Second, "another VM gets all workers", func() bool {
-				answer := v.AnswerSync(context.Background(), &peerpb.Sync{})
-				return slices.ContainsFunc(answer.GetDeltas(), func(d *peerpb.Delta) bool { return d.GetKind() == kindWorkers })
+				reply := v.SyncReply(context.Background(), &peerpb.Sync{})
+				return slices.ContainsFunc(reply.GetDeltas(), func(d *peerpb.Delta) bool { return d.GetKind() == kindWorkers })
 			})
 		})
 	}
--- a/internal/gateway/deltacache.go
+++ b/internal/gateway/deltacache.go
@@ -44,24 +44,24 @@
 func newDeltaCache() *deltaCache { return &deltaCache{entries: make(map[deltaKey][]byte)} }
 
 // delta encodes a delta, compressed if it is large and the receiver supports that.
-func (p *deltaCache) delta(d object.Delta, takesPacked bool) *peerpb.Delta {
+func (c *deltaCache) delta(d object.Delta, takesPacked bool) *peerpb.Delta {
 	if !takesPacked || !isLarge(d) {
 		return toDelta(d)
 	}
 	key := deltaKey{kind: d.Kind, full: d.Full, listed: d.Listed, since: d.Since, at: d.UpTo}
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	compressed, ok := p.entries[key]
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	compressed, ok := c.entries[key]
 	if !ok {
 		whole := toDelta(d)
 		var err error
 		if compressed, err = pack(whole); err != nil {
 			return whole
 		}
-		if len(p.entries) >= maxPacked {
-			clear(p.entries)
+		if len(c.entries) >= maxPacked {
+			clear(c.entries)
 		}
-		p.entries[key] = compressed
+		c.entries[key] = compressed
 	}
 	return &peerpb.Delta{Kind: d.Kind, Full: d.Full, Listed: d.Listed, Since: d.Since, At: d.UpTo, Packed: compressed}
 }
--- a/internal/gateway/directory.go
+++ b/internal/gateway/directory.go
@@ -53,11 +53,11 @@
 }
 
 // settleTime is how long after its start a VM takes no part in work that VMs divide
-// among themselves. Before it has heard of the others, it would consider itself the
+// among themselves. Before it knows the others, it would consider itself the
 // only one, and so would all VMs that start with it.
 const settleTime = 2 * time.Second
 
-// settled reports whether this VM has had time to hear of the others.
+// settled reports whether this VM has had time to discover the others.
 func (g *Gateway) settled() bool {
 	_, known := g.replica.CompleteUpTo(g.cfg.Codec.MemberKind())
 	return known && clock.Since(g.bootstrapStart()) >= settleTime
--- a/internal/gateway/export_test.go
+++ b/internal/gateway/export_test.go
@@ -27,9 +27,9 @@
 	FromBalance  = fromBalance
 )
 
-// Lapsed calls lapsed with an absence of the store that was last confirmed at confirmed and
-// whose grace period ends at graceEnd.
-func Lapsed(before, listed map[string]*worker.Worker, now, confirmed, graceEnd time.Time, loads *worker.Loads) []*worker.Worker {
+// LapsedWorkers calls lapsedWorkers with an outage before which the store last confirmed the
+// entries at confirmed, and whose grace period ends at graceEnd.
+func LapsedWorkers(before, listed map[string]*worker.Worker, now, confirmed, graceEnd time.Time, loads *worker.Loads) []*worker.Worker {
 	return lapsedWorkers(before, listed, now, &storeOutage{returned: graceEnd.Add(-lapseGrace), confirmed: confirmed}, loads)
 }
 
@@ -66,8 +66,8 @@
 	return s != nil && s.Workers.HasIncarnation(incarnation)
 }
 
-// IsLeaving reports whether the worker or a peer told this VM that an incarnation is
-// leaving.
+// IsLeaving reports whether this VM has a leaving signal of an incarnation, from the
+// worker or a peer.
 func (g *Gateway) IsLeaving(incarnation string) bool {
 	return !g.loads.SharedSignals()[incarnation].Leaving.Until.IsZero()
 }
@@ -110,30 +110,30 @@
 }
 
 // NewLargePartLimits returns the functions that limit the large deltas and large tables
-// in a VM's answers.
+// in a VM's replies.
 func NewLargePartLimits() (deltas, tables func(*peerpb.Synced) (sent func())) {
 	c := newLargeReplies()
 	return c.dropOversized, c.dropOversizedTable
 }
 
 // DeltaFor returns the delta of one kind that a sync request lacks.
-func (g *Gateway) DeltaFor(ask *peerpb.Sync, kind string) (object.Delta, bool) {
-	return g.deltaFor(ask, kind)
+func (g *Gateway) DeltaFor(request *peerpb.Sync, kind string) (object.Delta, bool) {
+	return g.deltaFor(request, kind)
 }
 
 // MergeDelta merges a delta received from a peer.
 func (g *Gateway) MergeDelta(d object.Delta) { g.mergeDelta("peer", d) }
 
-// BeginSyncAnswer answers a sync request. The caller calls sent once the answer is sent.
-func (g *Gateway) BeginSyncAnswer(ctx context.Context, ask *peerpb.Sync) (answer *peerpb.Synced, sent func()) {
-	return g.handleSync(ctx, ask)
+// HandleSync returns the reply to a sync request. The caller calls onSent once it is sent.
+func (g *Gateway) HandleSync(ctx context.Context, request *peerpb.Sync) (reply *peerpb.Synced, onSent func()) {
+	return g.handleSync(ctx, request)
 }
 
-// AnswerSync answers a sync request and marks the answer as sent.
-func (g *Gateway) AnswerSync(ctx context.Context, ask *peerpb.Sync) *peerpb.Synced {
-	answer, sent := g.handleSync(ctx, ask)
-	sent()
-	return answer
+// SyncReply returns the reply to a sync request and marks it as sent.
+func (g *Gateway) SyncReply(ctx context.Context, request *peerpb.Sync) *peerpb.Synced {
+	reply, onSent := g.handleSync(ctx, request)
+	onSent()
+	return reply
 }
 
 // KnowsWorker reports whether the snapshot in use has a worker.
@@ -173,16 +173,16 @@
 	}
 }
 
-// KeyQuestions exports keyQuestions.
-type KeyQuestions struct{ *keyFetches }
+// KeyFetches exports keyFetches.
+type KeyFetches struct{ *keyFetches }
 
-// NewKeyQuestions returns an empty KeyQuestions.
-func NewKeyQuestions() KeyQuestions { return KeyQuestions{newKeyFetches()} }
+// NewKeyFetches returns an empty KeyFetches.
+func NewKeyFetches() KeyFetches { return KeyFetches{newKeyFetches()} }
 
-// Allows reports whether a request with an unknown key makes the VM query a peer.
-func (k KeyQuestions) Allows(key workspace.Digest, now time.Time) bool {
-	_, ask := k.beginFetch(key, now)
-	return ask
+// BeginsFetch reports whether a request with an unknown key makes the VM fetch the keys.
+func (k KeyFetches) BeginsFetch(key workspace.Digest, now time.Time) bool {
+	_, fetch := k.beginFetch(key, now)
+	return fetch
 }
 
 // QuotaLenderCount returns how many VMs lend their quota shares to this one.
@@ -244,8 +244,8 @@
 	return func() int { return len(g.heldBack()) }
 }
 
-// PauseAfter exports pauseAfter.
-var PauseAfter = pauseAfter
+// CompilePause exports compilePause.
+var CompilePause = compilePause
 
 // BatchDelay returns how long a watcher batches updates if a change must apply within the
 // given time.
@@ -259,7 +259,7 @@
 	return nearest(members, hall, regions, maxLeaveProbes)
 }
 
-// IssuePermits returns how many permits for an incarnation this VM issues when asked for
+// IssuePermits returns how many permits for an incarnation this VM issues on a request for
 // more than there are.
 func (g *Gateway) IssuePermits(incarnation string) int {
 	return g.permits.issueByIncarnation(incarnation, 0, 100).Requests
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -53,10 +53,10 @@
 	// trips between regions take up to half of it.
 	workerDialTimeout = 400 * time.Millisecond
 	// workerAckTimeout is how long sent data may stay unacknowledged by the worker's
-	// machine before the connection is given up. It tolerates two lost packets on the
+	// machine before the connection is closed. It tolerates two lost packets on the
 	// longest path.
 	workerAckTimeout = 900 * time.Millisecond
-	// workerIdleTimeout is how long an unused connection to a worker is kept.
+	// workerIdleTimeout is how long an unused connection to a worker stays open.
 	workerIdleTimeout = 8 * time.Second
 	// nonIdempotentIdleTimeout is how long an idle connection may be reused for a
 	// request that must not run twice.
@@ -113,8 +113,8 @@
 	unused *unused
 	// quarantines tracks the requests that crash workers.
 	quarantines *quarantines
-	// keyQuestions limits the lookups of unknown API keys.
-	keyQuestions *keyFetches
+	// keyFetches limits the fetches for unknown API keys.
+	keyFetches *keyFetches
 	// compiledConfig is the revision of the newest configuration in the snapshot.
 	compiledConfig atomic.Uint64
 	placer         *placement.Placer
@@ -136,7 +136,7 @@
 		compiler: newCompiler(),
 		meters:   load.NewHallMeters(clock.Now), outlierDetector: outlier.New(outlier.Config{Now: clock.Now}),
 		serveErrors: make(chan error, 1), watchers: newWatchers(), knowledge: newKnowledge(), largeReplies: newLargeReplies(),
-		neighbors: newNeighbors(), deltaCache: newDeltaCache(), relayed: newRelayed(), storeBackoff: &storeBackoff{}, keyQuestions: newKeyFetches(),
+		neighbors: newNeighbors(), deltaCache: newDeltaCache(), relayed: newRelayed(), storeBackoff: &storeBackoff{}, keyFetches: newKeyFetches(),
 		quarantines: newQuarantines(), rollouts: newRollouts(cfg.Bounds.RolloutShare), unused: newUnused(cfg.Log, cfg.Metrics),
 		lifecycle: fsm.NewFSM(phaseStarting, fsm.Events{
 			{Name: "serve", Src: []string{phaseStarting}, Dst: phaseServing},
@@ -195,7 +195,7 @@
 	return regions
 }
 
-// maxReplicaAge returns the maxReplicaAge of the oldest replicated state that requests depend on.
+// maxReplicaAge returns the age of the oldest replicated state that requests depend on.
 func (g *Gateway) maxReplicaAge() time.Duration {
 	oldest := time.Duration(0)
 	for _, kind := range g.watchedKinds() {
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -245,7 +245,7 @@
 }
 
 // Guards against changes being delayed past staleAfter when the watcher fails.
-func TestChangesDoNotRestOnTheWatcher(t *testing.T) {
+func TestChangesDoNotDependOnTheWatcher(t *testing.T) {
 	cases := map[string]func(watcher *vm){
 		"its store calls hang": func(w *vm) { w.storeClient.setFailure(false, true) },
 		"its store calls fail": func(w *vm) { w.storeClient.setFailure(true, false) },
--- a/internal/gateway/halls.go
+++ b/internal/gateway/halls.go
@@ -33,7 +33,7 @@
 	return 0
 }
 
-// hallStatuses asks every live VM for its traffic to each hall and sums the reports. A
+// hallStatuses requests the traffic to each hall from every live VM and sums the reports. A
 // VM that does not reply counts as missing in every hall, since its traffic is
 // unknown.
 func (g *Gateway) hallStatuses(ctx context.Context) map[string]load.HallStatus {
@@ -53,7 +53,7 @@
 	return halls
 }
 
-// collectReports asks every live VM for its report and counts those that do not reply.
+// collectReports requests a report from every live VM and counts those that do not reply.
 func (g *Gateway) collectReports(ctx context.Context) (reports []load.Report, missing int) {
 	reports = []load.Report{g.meters.Report(g.trafficVersion())}
 	var mu sync.Mutex
@@ -66,7 +66,7 @@
 		semaphore <- struct{}{}
 		requests.Go(func() {
 			defer func() { <-semaphore }()
-			report, err := g.askReport(ctx, m)
+			report, err := g.fetchReport(ctx, m)
 			mu.Lock()
 			defer mu.Unlock()
 			if err != nil {
@@ -80,7 +80,7 @@
 	return reports, missing
 }
 
-func (g *Gateway) askReport(ctx context.Context, m membership.Member) (load.Report, error) {
+func (g *Gateway) fetchReport(ctx context.Context, m membership.Member) (load.Report, error) {
 	ctx, cancel := context.WithTimeout(ctx, probeTimeout)
 	defer cancel()
 	reply, err := g.peers.Call(ctx, peer.Target{VM: m.ID, Address: m.Peer}, &peerpb.Envelope{Kind: &peerpb.Envelope_Report{Report: &peerpb.Report{}}})
@@ -92,7 +92,7 @@
 	return report, json.Unmarshal(reply.GetReported().GetStatus(), &report)
 }
 
-// reportReply answers a VM that asks for a report.
+// reportReply returns the reply to a request for this VM's report.
 func (g *Gateway) reportReply() *peerpb.Reported {
 	status, err := json.Marshal(g.meters.Report(g.trafficVersion()))
 	if err != nil {
--- a/internal/gateway/incarnations_test.go
+++ b/internal/gateway/incarnations_test.go
@@ -156,8 +156,8 @@
 }
 
 // Guards against VMs treating a worker as warm that another VM saw terminate.
-func TestVMsTellEachOtherWhoHasEnded(t *testing.T) {
-	const tellWithin = 1500 * time.Millisecond
+func TestVMsShareSuspectedExits(t *testing.T) {
+	const spreadWithin = 1500 * time.Millisecond
 	f, vms := startThreeVMs(t)
 	target := worker.Worker{ID: "w1"}
 	f.store.put(kindConfig, "main", route.Config{
@@ -170,7 +170,7 @@
 	f.setStoreUnavailable(true)
 	time.Sleep(2500 * time.Millisecond) // Longer than the gaps between replies of a healthy store.
 	vms[0].RecordConnectionsClosed(target.Incarnation())
-	f.waitWithin(tellWithin, "all VMs treat the worker as cold", func() bool {
+	f.waitWithin(spreadWithin, "all VMs treat the worker as cold", func() bool {
 		for _, v := range vms {
 			if !v.IsCold(target.ID) {
 				return false
--- a/internal/gateway/keys.go
+++ b/internal/gateway/keys.go
@@ -18,7 +18,7 @@
 	// however many requests come with unknown keys.
 	keyFetchInterval = 250 * time.Millisecond
 	// keyFetchTimeout bounds how long a request with an unknown key waits for a fetch:
-	// time for a query to another VM of the region and part of a connection setup.
+	// time for a request to another VM of the region and part of a connection setup.
 	keyFetchTimeout = 150 * time.Millisecond
 	// badKeyTTL is how long an unknown key is rejected without another fetch.
 	badKeyTTL = time.Second
@@ -71,10 +71,10 @@
 	clear(k.badKeys)
 }
 
-// RefreshKeys implements ingress.Keys. It queries the VM from which this one gets its updates,
-// not the store.
+// RefreshKeys implements ingress.Keys. It requests changes from this VM's parent, not from
+// the store.
 func (g *Gateway) RefreshKeys(ctx context.Context, key workspace.Digest) {
-	done, fetch := g.keyQuestions.beginFetch(key, clock.Now())
+	done, fetch := g.keyFetches.beginFetch(key, clock.Now())
 	if done == nil {
 		return
 	}
@@ -92,15 +92,15 @@
 	}
 }
 
-// fetchKeys gets updates from another VM once and applies them.
+// fetchKeys requests changes from the parent once and applies them.
 func (g *Gateway) fetchKeys() {
 	t := g.parent(clock.Now())
 	if t.ID == g.cfg.VM {
 		return // This VM watches the store itself.
 	}
 	g.cfg.Metrics.KeyQuestion()
-	question := syncRequest{from: peer.Target{VM: t.ID, Address: t.Peer}, depth: secondaryDepth}
-	if _, err := g.syncFrom(context.Background(), question); err != nil {
+	request := syncRequest{from: peer.Target{VM: t.ID, Address: t.Peer}, depth: secondaryDepth}
+	if _, err := g.syncFrom(context.Background(), request); err != nil {
 		g.log.V(1).Info("keys: fetch failed", "peer", t.ID, "error", err.Error())
 	}
 	g.awaitCompiled()
--- a/internal/gateway/lapse_test.go
+++ b/internal/gateway/lapse_test.go
@@ -46,7 +46,7 @@
 	})
 }
 
-func TestLapsedDropsLeavingWorkers(t *testing.T) {
+func TestLapsedWorkersOmitLeavingOnes(t *testing.T) {
 	now := time.Now()
 	confirmed := now.Add(-5 * time.Second)
 	before := map[string]*worker.Worker{"stays": {ID: "stays"}, "gone": {ID: "gone"}, "left": {ID: "left", Leaving: true}}
@@ -60,9 +60,9 @@
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
-			retained := gateway.Lapsed(before, listed, now, confirmed, c.graceEnd, worker.NewLoads(time.Now))
+			retained := gateway.LapsedWorkers(before, listed, now, confirmed, c.graceEnd, worker.NewLoads(time.Now))
 			if len(retained) != c.want || c.want > 0 && (retained[0].ID != "gone" || !retained[0].Confirmed.Equal(confirmed)) {
-				t.Errorf("kept %v", retained)
+				t.Errorf("retained %v", retained)
 			}
 		})
 	}
--- a/internal/gateway/largereplies.go
+++ b/internal/gateway/largereplies.go
@@ -36,39 +36,39 @@
 
 func newLargeReplies() *largeReplies { return &largeReplies{released: make(chan struct{})} }
 
-// acquire takes a slot for a large reply, if one is free.
-func (c *largeReplies) acquire() bool {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	if c.inFlight >= maxLargeReplies {
+// acquire reserves a slot for a large reply, if one is free.
+func (l *largeReplies) acquire() bool {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	if l.inFlight >= maxLargeReplies {
 		return false
 	}
-	c.inFlight++
+	l.inFlight++
 	return true
 }
 
 // release returns a slot.
-func (c *largeReplies) release() {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	c.inFlight--
-	close(c.released)
-	c.released = make(chan struct{})
+func (l *largeReplies) release() {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.inFlight--
+	close(l.released)
+	l.released = make(chan struct{})
 }
 
 // slotFreed returns a channel that is closed when the next slot is returned.
-func (c *largeReplies) slotFreed() <-chan struct{} {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	return c.released
+func (l *largeReplies) slotFreed() <-chan struct{} {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return l.released
 }
 
 // dropOversized removes the deltas from a reply that are too large to send now. The caller
 // calls onSent once the reply has been sent.
-func (c *largeReplies) dropOversized(reply *peerpb.Synced) (onSent func()) {
+func (l *largeReplies) dropOversized(reply *peerpb.Synced) (onSent func()) {
 	acquired := false
 	reply.Deltas = slices.DeleteFunc(reply.Deltas, func(d *peerpb.Delta) bool {
-		if c.admit(d, &acquired) {
+		if l.admit(d, &acquired) {
 			return false
 		}
 		// Without the delta the age would refer to a state that the peer does not
@@ -76,35 +76,35 @@
 		delete(reply.GetAgeMillis(), d.GetKind())
 		return true
 	})
-	return c.releaseIf(&acquired)
+	return l.releaseIf(&acquired)
 }
 
 // dropOversizedTable does the same for the table of holders in a reply.
-func (c *largeReplies) dropOversizedTable(reply *peerpb.Synced) (onSent func()) {
+func (l *largeReplies) dropOversizedTable(reply *peerpb.Synced) (onSent func()) {
 	acquired := false
-	if reply.GetBalanced() != nil && !c.admit(reply.GetBalanced(), &acquired) {
+	if reply.GetBalanced() != nil && !l.admit(reply.GetBalanced(), &acquired) {
 		reply.Balanced = nil
 	}
-	return c.releaseIf(&acquired)
+	return l.releaseIf(&acquired)
 }
 
 // admit reports whether a part of a reply may be sent now. It acquires a slot for the
 // reply if the part needs one, and records that in acquired.
-func (c *largeReplies) admit(part proto.Message, acquired *bool) bool {
+func (l *largeReplies) admit(part proto.Message, acquired *bool) bool {
 	switch size := proto.Size(part); {
 	case size <= smallPartSize:
 		return true
 	case size > maxPartSize:
 		return false
 	}
-	*acquired = *acquired || c.acquire()
+	*acquired = *acquired || l.acquire()
 	return *acquired
 }
 
-func (c *largeReplies) releaseIf(acquired *bool) func() {
+func (l *largeReplies) releaseIf(acquired *bool) func() {
 	return func() {
 		if *acquired {
-			c.release()
+			l.release()
 		}
 	}
 }
--- a/internal/gateway/loads.go
+++ b/internal/gateway/loads.go
@@ -20,8 +20,8 @@
 	g.applyLoadReports(reported, (*worker.Load).MergeReport)
 }
 
-// applyAndForwardLoads applies load reports from VMs that query this one, and forwards them to the
-// VM that this one queries.
+// applyAndForwardLoads applies load reports from this VM's children and forwards them to
+// its parent.
 func (g *Gateway) applyAndForwardLoads(reported map[string]*peerpb.WorkerLoad) {
 	g.applyLoadReports(reported, (*worker.Load).MergeAndForwardReport)
 }
@@ -38,15 +38,15 @@
 	}
 }
 
-// loadsMark is the position up to which the VM queried last has sent its load reports. It
-// is safe for concurrent use.
+// loadsMark is the position up to which the parent has sent its load reports. It is safe
+// for concurrent use.
 type loadsMark struct {
 	mu   sync.Mutex
 	vm   string
 	mark *peerpb.LoadsMark
 }
 
-// forVM returns the mark for a query to a VM, nil if the last query went to another one.
+// forVM returns the mark for a request to a VM, nil if the last request went to another one.
 func (m *loadsMark) forVM(vm string) *peerpb.LoadsMark {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -64,7 +64,7 @@
 }
 
 // loadsAfter returns the load reports since a mark of this process, or all valid ones for
-// any other mark, and the mark for the next query. Without it each report would be sent
+// any other mark, and the mark for the next request. Without it each report would be sent
 // again in every response while it is valid.
 func (g *Gateway) loadsAfter(mark *peerpb.LoadsMark) (map[string]*peerpb.WorkerLoad, *peerpb.LoadsMark) {
 	after := uint64(0)
--- a/internal/gateway/loads_test.go
+++ b/internal/gateway/loads_test.go
@@ -41,19 +41,19 @@
 }
 
 // Guards against sending a VM loads again that it already has.
-func TestLoadsAreToldOnce(t *testing.T) {
+func TestLoadReportsAreSentOnce(t *testing.T) {
 	f := newFleet(t)
 	v := f.startVM("a", "north-a", nil)
 	f.startWorker("w1", "s", "north-a")
 	f.waitFor("the VM knows the worker", func() bool { return v.ready() && v.KnowsWorker("w1") })
-	answerSync := func(ask *peerpb.Sync) *peerpb.Synced {
-		ask.HoldMillis = 1
-		return v.AnswerSync(context.Background(), ask)
+	sync := func(request *peerpb.Sync) *peerpb.Synced {
+		request.HoldMillis = 1
+		return v.SyncReply(context.Background(), request)
 	}
 	loads := map[string]*peerpb.WorkerLoad{"w1": {Requests: 5}}
-	first := answerSync(&peerpb.Sync{Loads: loads})
-	again := answerSync(&peerpb.Sync{LoadsMark: first.GetLoadsMark()})
-	restarted := answerSync(&peerpb.Sync{LoadsMark: &peerpb.LoadsMark{Start: 1, Number: first.GetLoadsMark().GetNumber()}})
+	first := sync(&peerpb.Sync{Loads: loads})
+	again := sync(&peerpb.Sync{LoadsMark: first.GetLoadsMark()})
+	restarted := sync(&peerpb.Sync{LoadsMark: &peerpb.LoadsMark{Start: 1, Number: first.GetLoadsMark().GetNumber()}})
 	if len(first.GetLoads()) != 1 || len(again.GetLoads()) != 0 || len(restarted.GetLoads()) != 1 {
 		t.Errorf("sent %d loads, then %d, after a restart %d; want 1, 0, 1",
 			len(first.GetLoads()), len(again.GetLoads()), len(restarted.GetLoads()))
--- a/internal/gateway/outage.go
+++ b/internal/gateway/outage.go
@@ -32,33 +32,33 @@
 
 // record detects the end of an outage. It takes the time at which a kind was last
 // confirmed, and is called before newer state of the kind is applied.
-func (a *storeOutage) record(confirmed, now time.Time, outageAfter time.Duration) {
+func (o *storeOutage) record(confirmed, now time.Time, outageAfter time.Duration) {
 	if confirmed.IsZero() || now.Sub(confirmed) < outageAfter {
 		return
 	}
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	a.returned, a.confirmed = now, confirmed
+	o.mu.Lock()
+	defer o.mu.Unlock()
+	o.returned, o.confirmed = now, confirmed
 }
 
 // graceEnd returns the time until which workers with missing entries are used.
-func (a *storeOutage) graceEnd() time.Time {
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	return a.returned.Add(lapseGrace)
+func (o *storeOutage) graceEnd() time.Time {
+	o.mu.Lock()
+	defer o.mu.Unlock()
+	return o.returned.Add(lapseGrace)
 }
 
 // lastConfirmed returns when the store had last confirmed the entries that the outage
 // may have removed.
-func (a *storeOutage) lastConfirmed() time.Time {
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	return a.confirmed
+func (o *storeOutage) lastConfirmed() time.Time {
+	o.mu.Lock()
+	defer o.mu.Unlock()
+	return o.confirmed
 }
 
-// recordStoreAnswer must be called before changes from the store or a peer are
-// applied.
-func (g *Gateway) recordStoreAnswer(now time.Time) {
+// recordOutage records the end of an outage of the store, if there was one. It must be
+// called before changes from the store or a peer are applied.
+func (g *Gateway) recordOutage(now time.Time) {
 	confirmed := g.replica.ConfirmedAt(g.cfg.Codec.WorkerKind())
 	g.outage.record(confirmed, now, g.cfg.StaleAfter+outageMargin)
 }
--- a/internal/gateway/outliers.go
+++ b/internal/gateway/outliers.go
@@ -15,8 +15,8 @@
 const maxOutcomes = 512
 
 // drainOutcomes updates outlier detection with the outcomes that this VM has seen since
-// the last call. It returns them, merged with those of VMs that query this one, for the
-// watcher of the region, which sums up the outcomes of all its VMs.
+// the last call. It returns them, merged with those of this VM's children, for its
+// parent, so that the root sums up the outcomes of all VMs of the region.
 func (g *Gateway) drainOutcomes() map[string]worker.Outcomes {
 	outcomes := g.loads.DrainOutcomes(maxOutcomes)
 	g.outlierDetector.AddOutcomes(outcomes)
@@ -73,11 +73,11 @@
 	return out
 }
 
-// ejectedMillis returns the workers ejected by this VM or by the one it queries, with the
-// remaining time in milliseconds.
+// ejectedMillis returns the workers ejected by this VM or by VMs nearer to the root, with
+// the remaining time in milliseconds.
 func (g *Gateway) ejectedMillis() map[string]uint32 {
 	ejected := g.outlierDetector.Ejected()
-	g.relayed.addSpared(ejected, clock.Now())
+	g.relayed.mergeEjected(ejected, clock.Now())
 	out := make(map[string]uint32, len(ejected))
 	for id, remaining := range ejected {
 		out[id] = uint32(remaining.Milliseconds())
@@ -85,12 +85,12 @@
 	return out
 }
 
-// applyEjections applies the ejections sent by the region's watcher.
+// applyEjections applies the ejections in a reply of another VM.
 func (g *Gateway) applyEjections(reported map[string]uint32) {
 	ejected := make(map[string]time.Duration, len(reported))
 	for id, millis := range reported {
 		ejected[id] = time.Duration(millis) * time.Millisecond
 	}
 	g.ejectWorkers(ejected)
-	g.relayed.spare(ejected, clock.Now())
+	g.relayed.setEjected(ejected, clock.Now())
 }
--- a/internal/gateway/outliers_test.go
+++ b/internal/gateway/outliers_test.go
@@ -51,7 +51,7 @@
 }
 
 // Guards against other VMs sending requests to an address that one VM found reused.
-func TestVMsHearThatAnAddressIsReused(t *testing.T) {
+func TestVMsShareThatAnAddressIsReused(t *testing.T) {
 	f, vms := startThreeVMs(t)
 	var requests atomic.Int64
 	reused := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
--- a/internal/gateway/packs_test.go
+++ b/internal/gateway/packs_test.go
@@ -49,7 +49,7 @@
 	eventsByPacked := make(map[bool][]*peerpb.ObjectEvent)
 	for _, packed := range []bool{false, true} {
 		start := time.Now()
-		answer := v.AnswerSync(context.Background(), &peerpb.Sync{HoldMillis: 350, Since: since, TakesListed: true, TakesPacked: packed})
+		answer := v.SyncReply(context.Background(), &peerpb.Sync{HoldMillis: 350, Since: since, TakesListed: true, TakesPacked: packed})
 		if took := time.Since(start); took > 200*time.Millisecond {
 			t.Errorf("packed %t: answered after %s", packed, took)
 		}
--- a/internal/gateway/permits.go
+++ b/internal/gateway/permits.go
@@ -88,7 +88,7 @@
 
 // issuerOf returns the VM that issues permits for a worker: a VM of the worker's region,
 // or any if none there is live. There is none while a starting VM knows no other. An
-// unresponsive issuer is kept until it is known to be gone: if VMs switched to different
+// unresponsive issuer is used until it is no longer live: if VMs switched to different
 // issuers, the limit would be granted several times.
 func (p *permits) issuerOf(w *worker.Worker) (vm string, found bool) {
 	g := p.gateway
@@ -150,22 +150,22 @@
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), probeTimeout)
 	defer cancel()
-	reply, err := g.peers.Call(ctx, peer.Target{VM: m.ID, Address: m.Peer}, &peerpb.Envelope{Kind: &peerpb.Envelope_PermitDemand{PermitDemand: demand}})
+	envelope, err := g.peers.Call(ctx, peer.Target{VM: m.ID, Address: m.Peer}, &peerpb.Envelope{Kind: &peerpb.Envelope_PermitDemand{PermitDemand: demand}})
 	g.cfg.Metrics.PeerCall("permits", err)
-	answer := reply.GetPermits()
-	if err == nil && (len(answer.GetGranted()) != len(demand.GetLives()) || len(answer.GetWaitMillis()) != len(demand.GetLives())) {
+	reply := envelope.GetPermits()
+	if err == nil && (len(reply.GetGranted()) != len(demand.GetLives()) || len(reply.GetWaitMillis()) != len(demand.GetLives())) {
 		err = errors.Newf("permits: invalid response from %s", m.ID)
 	}
 	if err != nil {
 		g.log.V(1).Info("permits: query to issuer failed", "peer", m.ID, "error", err.Error())
 		return nil, err
 	}
-	g.applySignals(m.ID, answer.GetSignals())
+	g.applySignals(m.ID, reply.GetSignals())
 	granted := make(ratelimit.Grants, len(wanted))
 	for i, incarnation := range demand.GetLives() {
 		granted[incarnation] = ratelimit.Grant{
-			Requests:   int(answer.GetGranted()[i]),
-			RetryAfter: min(time.Duration(answer.GetWaitMillis()[i])*time.Millisecond, maxPermitRetryAfter),
+			Requests:   int(reply.GetGranted()[i]),
+			RetryAfter: min(time.Duration(reply.GetWaitMillis()[i])*time.Millisecond, maxPermitRetryAfter),
 		}
 	}
 	return granted, nil
@@ -189,16 +189,16 @@
 	g.applySignals(from, demand.GetSignals())
 	incarnations, wanted := demand.GetLives(), demand.GetWanted()
 	incarnations = incarnations[:min(len(incarnations), len(wanted), maxPermitWorkers)]
-	answer, want := &peerpb.Permits{}, make(ratelimit.RequestCounts, len(incarnations))
+	reply, want := &peerpb.Permits{}, make(ratelimit.RequestCounts, len(incarnations))
 	for i, incarnation := range incarnations {
 		n := int(min(wanted[i], maxPermitsWanted))
 		grant := p.issueByIncarnation(incarnation, int(min(demand.GetPriority(), maxPriority)), n)
-		answer.Granted = append(answer.Granted, uint32(grant.Requests))
-		answer.WaitMillis = append(answer.WaitMillis, uint32(grant.RetryAfter.Milliseconds()))
+		reply.Granted = append(reply.Granted, uint32(grant.Requests))
+		reply.WaitMillis = append(reply.WaitMillis, uint32(grant.RetryAfter.Milliseconds()))
 		want[incarnation] = n
 	}
-	answer.Signals = p.limitSignals(want)
-	return answer
+	reply.Signals = p.limitSignals(want)
+	return reply
 }
 
 // maxPriority bounds the priority in a query.
--- a/internal/gateway/quarantine.go
+++ b/internal/gateway/quarantine.go
@@ -235,7 +235,7 @@
 // quarantineRequest quarantines a request that was found to crash workers and informs all
 // VMs.
 func (g *Gateway) quarantineRequest(e quarantine.Entry) {
-	if !g.quarantines.table.Hear(e) {
+	if !g.quarantines.table.Merge(e) {
 		return
 	}
 	g.quarantines.recordDetected(e.Fingerprint)
@@ -342,7 +342,7 @@
 			g.log.Info("quarantine: invalid entry received", "peer", from, "error", err.Error())
 			continue
 		}
-		if g.quarantines.table.Hear(e) {
+		if g.quarantines.table.Merge(e) {
 			g.log.Info("quarantine: request quarantined by a peer", "fingerprint", e.Fingerprint.String(),
 				"peer", from, "subject", e.Subject, "until", e.Until)
 		}
--- a/internal/gateway/quarantine_test.go
+++ b/internal/gateway/quarantine_test.go
@@ -177,7 +177,7 @@
 }
 
 // Guards against a quarantine not reaching VMs that never saw the request, without the store.
-func TestAllVMsAreToldOfQuarantines(t *testing.T) {
+func TestQuarantinesReachAllVMs(t *testing.T) {
 	f, m := startCrashFleet(t)
 	for _, v := range f.vms {
 		v.storeClient.setFailure(true, false)
--- a/internal/gateway/quota.go
+++ b/internal/gateway/quota.go
@@ -135,7 +135,7 @@
 	}
 }
 
-// recallLoan asks the pool that holds this VM's loan to return it if that VM is no longer
+// recallLoan makes the pool that holds this VM's loan return it if that VM is no longer
 // the pool of the region. A pool that does not respond keeps the loan until it expires.
 func (g *Gateway) recallLoan() {
 	holder, lent := g.quotas.lender.CurrentPool()
--- a/internal/gateway/ratelimits_test.go
+++ b/internal/gateway/ratelimits_test.go
@@ -13,7 +13,7 @@
 	// limitWindow is the window over which requests at a limited worker are counted. The
 	// check starts one window after the first answer that names a limit.
 	limitWindow = 4 * time.Second
-	// limitInFlightGrace is the time after a VM learns a limit in which its requests
+	// limitInFlightGrace is the time after a VM receives a limit in which its requests
 	// don't count.
 	limitInFlightGrace = 500 * time.Millisecond
 	// limitFactor and limitSlack are the tolerance above a worker's limit.
@@ -69,7 +69,7 @@
 	return got, allowed
 }
 
-// Guards against VMs together exceeding a worker's limit that each keeps alone.
+// Guards against VMs together exceeding a worker's limit that each obeys alone.
 func TestWorkersThatNameALimit(t *testing.T) {
 	t.Parallel()
 	const limitedWorkers = 2 // of six workers
--- a/internal/gateway/relayed.go
+++ b/internal/gateway/relayed.go
@@ -12,15 +12,15 @@
 
 // relayed holds what an inner VM of the tree passes on: the outcomes of workers
 // reported by its children, until its next request to its parent, and the workers that
-// its parent spares. It is safe for concurrent use.
+// VMs nearer to the root have ejected. It is safe for concurrent use.
 type relayed struct {
 	mu       sync.Mutex
 	outcomes map[string]worker.Outcomes
-	spared   map[string]time.Time
+	ejected  map[string]time.Time
 }
 
 func newRelayed() *relayed {
-	return &relayed{outcomes: make(map[string]worker.Outcomes), spared: make(map[string]time.Time)}
+	return &relayed{outcomes: make(map[string]worker.Outcomes), ejected: make(map[string]time.Time)}
 }
 
 // addOutcomes adds outcomes reported by other VMs, for maxOutcomes workers at most.
@@ -30,11 +30,11 @@
 	mergeOutcomes(r.outcomes, received)
 }
 
-// takeOutcomes moves the outcomes added since the last call to this VM's own.
-func (r *relayed) takeOutcomes(own map[string]worker.Outcomes) {
+// takeOutcomes moves the outcomes added since the last call to sum.
+func (r *relayed) takeOutcomes(sum map[string]worker.Outcomes) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	mergeOutcomes(own, r.outcomes)
+	mergeOutcomes(sum, r.outcomes)
 	clear(r.outcomes)
 }
 
@@ -49,25 +49,25 @@
 	}
 }
 
-// spare replaces the workers spared by a VM nearer to the root, given with the
+// setEjected replaces the workers ejected by VMs nearer to the root, given with the
 // remaining time.
-func (r *relayed) spare(workers map[string]time.Duration, now time.Time) {
+func (r *relayed) setEjected(workers map[string]time.Duration, now time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	clear(r.spared)
-	for id, left := range workers {
-		r.spared[id] = now.Add(left)
+	clear(r.ejected)
+	for id, remaining := range workers {
+		r.ejected[id] = now.Add(remaining)
 	}
 }
 
-// addSpared adds these workers and their remaining time to those that this VM spares
-// itself.
-func (r *relayed) addSpared(own map[string]time.Duration, now time.Time) {
+// mergeEjected adds the workers ejected by VMs nearer to the root, with their remaining
+// time, to those that this VM ejects itself.
+func (r *relayed) mergeEjected(ejected map[string]time.Duration, now time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	for id, until := range r.spared {
-		if left := until.Sub(now); left > own[id] {
-			own[id] = left
+	for id, until := range r.ejected {
+		if remaining := until.Sub(now); remaining > ejected[id] {
+			ejected[id] = remaining
 		}
 	}
 }
--- a/internal/gateway/rolloutloop.go
+++ b/internal/gateway/rolloutloop.go
@@ -58,9 +58,9 @@
 func (g *Gateway) rolloutWatchLoop(ctx context.Context) {
 	kind := g.cfg.Codec.RolloutKind()
 	g.waitForPeers(ctx, kind)
-	compacted := false
+	historyExpired := false
 	for ctx.Err() == nil {
-		if _, known := g.replica.CompleteUpTo(kind); known && !g.watchesStore() && !compacted {
+		if _, known := g.replica.CompleteUpTo(kind); known && !g.watchesStore() && !historyExpired {
 			select {
 			case <-ctx.Done():
 			case <-g.watchRequested():
@@ -68,16 +68,16 @@
 			continue
 		}
 		g.storeBackoff.wait(ctx, g.maxStoreBackoff())
-		_, err := g.refresh(ctx, kind, rolloutWatchHold, compacted)
-		compacted = errors.Is(err, ErrHistoryGone)
+		_, err := g.refresh(ctx, kind, rolloutWatchHold, historyExpired)
+		historyExpired = errors.Is(err, ErrHistoryGone)
 		g.storeBackoff.recordResult(err)
 		g.knowledge.recordStoreCall(kind, err)
 	}
 }
 
-// rolloutLoop advances orders while this VM is the one that steps operators' moves. Two
-// VMs that both consider themselves in charge do no harm: phases only advance, and writes
-// to the store are conditional on the revision.
+// rolloutLoop advances orders while this VM is the controller. Two VMs that both consider
+// themselves the controller do not conflict: phases only advance, and writes to the store
+// are conditional on the revision.
 func (g *Gateway) rolloutLoop(ctx context.Context) {
 	wait := rolloutInterval
 	for ctx.Err() == nil {
@@ -316,7 +316,7 @@
 }
 
 // handleRollouts applies the steps it is sent and returns this VM's reports, merged with
-// those of the other VMs of its hall if the message asks for that.
+// those of the other VMs of its hall if the message requests that.
 func (g *Gateway) handleRollouts(ctx context.Context, from string, message *peerpb.Rollouts) *peerpb.RolloutReports {
 	for _, step := range message.GetSteps() {
 		g.applyStep(from, step)
--- a/internal/gateway/signal_workers_test.go
+++ b/internal/gateway/signal_workers_test.go
@@ -24,22 +24,22 @@
 	// the worker answered it.
 	sent, at, answered time.Time
 	// leaving is whether the answer announced that the worker is leaving, and rest the
-	// rest that it asked for, 0 for none.
+	// rest that it requested, 0 for none.
 	leaving bool
 	rest    time.Duration
 	// limit is the rate limit in the answer, below 0 for none.
 	limit float64
 }
 
-// signalWorker is a worker whose answers announce that it is leaving, ask for rest or name a
-// rate limit, while it keeps serving.
+// signalWorker is a worker whose responses announce that it is leaving, request a rest or
+// declare a rate limit, while it keeps serving.
 type signalWorker struct {
 	id      string
 	address string
 
 	mu          sync.Mutex
 	leaving     bool
-	rests       []time.Duration // rests to ask for at random; none if empty
+	rests       []time.Duration // rests to request at random; none if empty
 	rejectRatio float64         // the part of requests rejected while rests isn't empty
 	limit       float64         // the rate limit in answers, below 0 for none
 	arrivals    []signalArrival
@@ -98,7 +98,7 @@
 	m.leaving = leaving
 }
 
-// setRests makes the worker reject a part of its requests and ask for one of rests at random.
+// setRests makes the worker reject a part of its requests and request one of rests at random.
 func (m *signalWorker) setRests(rejectRatio float64, rests ...time.Duration) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -144,15 +144,15 @@
 	maxDuringRest     = 2
 )
 
-// restCounts returns how many rests the worker asked for and how many of them VMs violated.
-func (m *signalWorker) restCounts() (asked, violated int) {
+// restCounts returns how many rests the worker requested and how many of them VMs violated.
+func (m *signalWorker) restCounts() (requested, violated int) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	for _, a := range m.arrivals {
 		if a.rest == 0 {
 			continue
 		}
-		asked++
+		requested++
 		n := 0
 		for _, b := range m.arrivals {
 			if b.vm == a.vm && b.at.After(a.answered.Add(restInFlightGrace)) && b.at.Before(a.answered.Add(a.rest)) {
@@ -163,7 +163,7 @@
 			violated++
 		}
 	}
-	return asked, violated
+	return requested, violated
 }
 
 // startSignalFleet starts VMs and signalWorkers of one region and waits until the VMs resolve
--- a/internal/gateway/signals.go
+++ b/internal/gateway/signals.go
@@ -19,13 +19,13 @@
 const (
 	// maxSignals bounds the workers whose signals are read from one message.
 	maxSignals = 256
-	// unnamedPeer names the source of signals in a query, which does not carry the name
-	// of its sender.
+	// unnamedPeer names the source of signals in a sync request, which does not carry the
+	// name of its sender.
 	unnamedPeer = "a VM that asked for news"
 )
 
 // outgoingSignals returns the signals of workers that the store does not have. They are part
-// of each query for updates, each response and each probe, so that they also reach other
+// of each sync request, each reply and each probe, so that they also reach other
 // regions, VMs that start or reconnect, and all VMs while the store is unavailable. A
 // signal is dropped with the incarnation it is about.
 func (g *Gateway) outgoingSignals() map[string]*peerpb.WorkerSignals {
--- a/internal/gateway/signals_test.go
+++ b/internal/gateway/signals_test.go
@@ -12,11 +12,11 @@
 	"github.com/ryehill/ryehill/state/worker"
 )
 
-// Guards against requests to a worker whose answers announce that it is leaving, store or not.
-func TestWorkerThatSaysItLeaves(t *testing.T) {
+// Guards against requests to a worker whose responses announce that it is leaving.
+func TestWorkerThatAnnouncesLeaving(t *testing.T) {
 	cases := map[string]func(f *fleet){
-		"the store is away":    func(f *fleet) { f.setStoreUnavailable(true) },
-		"the store says ready": func(*fleet) {},
+		"the store is away":   func(f *fleet) { f.setStoreUnavailable(true) },
+		"the store has ready": func(*fleet) {},
 	}
 	for name, before := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -71,7 +71,7 @@
 	})
 }
 
-// Guards against requests to workers that asked for rest.
+// Guards against requests to workers that requested a rest.
 func TestWorkersThatAskForRest(t *testing.T) {
 	f, workers := startSignalFleet(t, 4, 9)
 	stop := make(chan struct{})
@@ -90,9 +90,9 @@
 	close(stop)
 	served, lost := (<-ended).counts()
 	for _, w := range workers[:3] {
-		asked, violated := w.restCounts()
-		if asked == 0 || violated > 0 {
-			t.Errorf("%s asked for rest %d times, violated %d times", w.id, asked, violated)
+		requested, violated := w.restCounts()
+		if requested == 0 || violated > 0 {
+			t.Errorf("%s requested a rest %d times, violated %d times", w.id, requested, violated)
 		}
 		if w.arrivalsAfter(restsOver) == 0 {
 			t.Errorf("%s gets no requests after its rests", w.id)
@@ -104,8 +104,8 @@
 }
 
 // Guards against a leaving announcement not reaching other VMs during a store outage.
-func TestVMsTellEachOtherWhoLeaves(t *testing.T) {
-	const tellWithin = 1500 * time.Millisecond
+func TestVMsShareLeavingSignals(t *testing.T) {
+	const spreadWithin = 1500 * time.Millisecond
 	f, workers := startSignalFleet(t, 3, 4)
 	south := f.startVM("south", "south-a", nil)
 	f.waitFor("south is ready", south.ready)
@@ -114,7 +114,7 @@
 	leaver := workers[0]
 	leaver.setLeaving(true)
 	f.waitFor("one VM knows that the worker is leaving", func() bool { f.vms[0].sendRequest("/?vm=v0"); return f.vms[0].IsLeaving(leaver.id) })
-	f.waitWithin(tellWithin, "all VMs know that the worker is leaving", func() bool {
+	f.waitWithin(spreadWithin, "all VMs know that the worker is leaving", func() bool {
 		for _, v := range f.vms {
 			if !v.IsLeaving(leaver.id) {
 				return false
@@ -124,7 +124,7 @@
 	})
 	late := f.startVM("late", "north-b", func(_ *gateway.Config, d *storeClient) { d.setFailure(true, false) })
 	f.waitFor("late is ready", late.ready)
-	f.waitWithin(tellWithin, "the late VM knows that the worker is leaving", func() bool { return late.IsLeaving(leaver.id) })
+	f.waitWithin(spreadWithin, "the late VM knows that the worker is leaving", func() bool { return late.IsLeaving(leaver.id) })
 	f.store.put(kindWorkers, leaver.id, leaver.workerEntry("north-a", 7))
 	f.setStoreUnavailable(false)
 	late.storeClient.setFailure(false, false)
--- a/internal/gateway/start.go
+++ b/internal/gateway/start.go
@@ -34,7 +34,7 @@
 	// greater than 1, so that the receiver does not watch the store because of it.
 	secondaryDepth = 2
 	// assumeLiveFor is how long after its start a VM assumes VMs to be live that it
-	// has not heard of.
+	// has no state of yet.
 	assumeLiveFor = 15 * time.Second
 	// startPollInterval is the interval at which a starting VM checks whether its
 	// peers have delivered a kind.
@@ -42,7 +42,7 @@
 )
 
 // neighbors holds the VMs of this VM's hall as listed in the store, for use until this
-// VM has heard of them itself. It is safe for concurrent use.
+// VM has learned their state from peers. It is safe for concurrent use.
 type neighbors struct {
 	mu    sync.Mutex
 	vms   []spec.VM
@@ -75,9 +75,9 @@
 	}
 }
 
-// assumedLive returns the VMs that this VM assumes to be live without having heard of
-// them, because it has just started: those in the list of VMs or, until it has that
-// list, those of its hall. News of all VMs takes several seconds to spread; without
+// assumedLive returns the VMs that this VM assumes to be live without knowing their
+// state, because it has just started: those in the list of VMs or, until it has that
+// list, those of its hall. The state of all VMs takes several seconds to spread; without
 // the assumption each VM would choose from a different set, and many would watch the
 // store.
 func (g *Gateway) assumedLive(now time.Time) []membership.Member {
@@ -114,10 +114,10 @@
 func (g *Gateway) waitsForSeeds() bool { return clock.Now().Before(g.bootstrapStart()) }
 
 // bootstrapLoop fetches the state that this VM needs to serve. At the first start of a
-// fleet it asks the seeds, so that all VMs know each other and agree on who watches
+// fleet it queries the seeds, so that all VMs know each other and agree on who watches
 // the store before they choose parents. At later starts it reads the list of VMs of
-// its hall, one of which syncLoop asks. The seeds, which are the same for all VMs, are
-// the fallback while the store is unavailable.
+// its hall, from one of which syncLoop requests changes. The seeds, which are the same
+// for all VMs, are the fallback while the store is unavailable.
 func (g *Gateway) bootstrapLoop(ctx context.Context) {
 	for i := 0; ctx.Err() == nil && g.waitsForSeeds(); i++ {
 		g.syncFromSeed(ctx, i, maxSyncHold)
@@ -136,12 +136,12 @@
 	}
 }
 
-// secondarySource returns the VM of the hall that is asked in addition to the parent,
+// secondarySource returns the VM of the hall that is queried in addition to the parent,
 // which may not have restarted yet and would then delay the start by a timeout.
 func (g *Gateway) secondarySource() (spec.VM, bool) {
-	asked := g.parent(clock.Now()).ID
+	parentID := g.parent(clock.Now()).ID
 	ranked := g.rankHall()
-	at := slices.IndexFunc(ranked, func(id string) bool { return id != asked && id != g.cfg.VM })
+	at := slices.IndexFunc(ranked, func(id string) bool { return id != parentID && id != g.cfg.VM })
 	if at < 0 {
 		return spec.VM{}, false
 	}
@@ -155,7 +155,7 @@
 	}
 }
 
-// syncFromSeed asks the next seed for changes, then waits for seedInterval.
+// syncFromSeed requests changes from the next seed, then waits for seedInterval.
 func (g *Gateway) syncFromSeed(ctx context.Context, index int, hold time.Duration) {
 	defer sleep(ctx, seedInterval)
 	if len(g.cfg.Seeds) == 0 {
--- a/internal/gateway/sync.go
+++ b/internal/gateway/sync.go
@@ -31,40 +31,40 @@
 	depth int
 }
 
-// syncFrom asks a VM for the changes that this one lacks. The peer's state is at least
-// as new as the time of its reply minus the age it reports, and the reply is not sent
-// before the request was sent plus its hold. syncFrom returns the greatest age that the
+// syncFrom requests the changes that this VM lacks from another one. The peer's state is
+// at least as new as the time of its reply minus the age it reports, and the reply is not
+// sent before the request was sent plus its hold. syncFrom returns the greatest age that the
 // peer reports for a watched kind.
 func (g *Gateway) syncFrom(ctx context.Context, request syncRequest) (oldest time.Duration, err error) {
 	ctx, cancel := context.WithTimeout(ctx, request.hold+syncReplyGrace)
 	defer cancel()
 	sent := clock.Now()
 	message := &peerpb.Envelope{Kind: &peerpb.Envelope_Sync{Sync: g.syncMessage(request)}}
-	reply, err := g.peers.Call(ctx, request.from, message)
+	envelope, err := g.peers.Call(ctx, request.from, message)
 	g.cfg.Metrics.PeerCall("sync", err)
 	g.knowledge.recordPeerCall(err)
 	if err != nil {
 		return 0, err
 	}
-	answer := reply.GetSynced()
-	g.recordListedVMs(answer.GetListedVms())
-	g.applyEjections(answer.GetSparedMillis())
-	g.applyLoads(answer.GetLoads())
-	g.applySignals(request.from.VM, answer.GetSignals())
+	reply := envelope.GetSynced()
+	g.recordListedVMs(reply.GetListedVms())
+	g.applyEjections(reply.GetSparedMillis())
+	g.applyLoads(reply.GetLoads())
+	g.applySignals(request.from.VM, reply.GetSignals())
 	if request.hold > 0 {
-		g.loadsMark.set(request.from.VM, answer.GetLoadsMark())
+		g.loadsMark.set(request.from.VM, reply.GetLoadsMark())
 	}
-	g.balancer.table.Merge(fromBalanced(answer.GetBalanced()))
-	g.recordStoreAnswer(clock.Now())
-	for _, d := range answer.GetDeltas() {
+	g.balancer.table.Merge(fromBalanced(reply.GetBalanced()))
+	g.recordOutage(clock.Now())
+	for _, d := range reply.GetDeltas() {
 		if d, err = unpack(d); err != nil {
 			g.log.Error(err, "peer: cannot decode delta", "peer", request.from.VM, "kind", d.GetKind())
 			return 0, err
 		}
 		g.mergeDelta(request.from.VM, fromDelta(d))
 	}
-	g.confirmFromReply(answer, sent)
-	return g.maxWatchedAge(answer), nil
+	g.confirmFromReply(reply, sent)
+	return g.maxWatchedAge(reply), nil
 }
 
 // syncMessage builds a request for changes. Only requests with a hold also carry the
@@ -106,9 +106,9 @@
 // mergeDelta merges a peer's changes of one kind. If they show that the replica is
 // incomplete, the kind is listed from the store again.
 func (g *Gateway) mergeDelta(from string, d object.Delta) {
-	wasDoubted := g.replica.Inconsistent(d.Kind)
+	wasInconsistent := g.replica.Inconsistent(d.Kind)
 	g.replica.Merge(d)
-	if !wasDoubted && g.replica.Inconsistent(d.Kind) {
+	if !wasInconsistent && g.replica.Inconsistent(d.Kind) {
 		g.log.Info("knowledge: a peer has an object that the replica lacks, listing the kind again", "kind", d.Kind, "peer", from, "since", d.Since, "at", d.UpTo)
 		g.cfg.Metrics.KnowledgeDoubted(d.Kind)
 		g.watchers.notify()
--- a/internal/gateway/teller_test.go
+++ b/internal/gateway/teller_test.go
@@ -13,8 +13,8 @@
 	"github.com/ryehill/ryehill/state/object"
 )
 
-// Guards against counting the time to build an answer as hold time, which makes state look fresher.
-func TestTimeSpentOnAnAnswerIsNotHeld(t *testing.T) {
+// Guards against counting the time to build a reply as hold time, which makes state look fresher.
+func TestTimeToBuildAReplyIsNotHeld(t *testing.T) {
 	f := newFleet(t)
 	v := f.startVM("a", "north-a", nil)
 	f.waitFor("the VM is ready", v.ready)
@@ -28,16 +28,16 @@
 	for range 100 {
 		confirmed := v.Confirmed(kindConfig)
 		start := time.Now()
-		answer := v.AnswerSync(context.Background(), &peerpb.Sync{})
+		reply := v.SyncReply(context.Background(), &peerpb.Sync{})
 		took := time.Since(start)
 		if v.Confirmed(kindConfig) != confirmed {
 			continue // The store confirmed the state in the meantime.
 		}
 		if took < 5*time.Millisecond {
-			t.Fatalf("the answer took only %s, too little for the check", took)
+			t.Fatalf("the reply took only %s, too little for the check", took)
 		}
-		held := time.Duration(answer.GetHeldMillis()) * time.Millisecond
-		age := time.Duration(answer.GetAgeMillis()[kindConfig]) * time.Millisecond
+		held := time.Duration(reply.GetHeldMillis()) * time.Millisecond
+		age := time.Duration(reply.GetAgeMillis()[kindConfig]) * time.Millisecond
 		// A pause before the VM reads its state counts in both held and age.
 		if apparent := start.Add(held - age); apparent.After(confirmed.Add(time.Millisecond)) {
 			t.Errorf("state confirmed %s before the request appears %s younger than it is: held %s, age %s, took %s",
@@ -46,5 +46,5 @@
 		t.Logf("held %s, age %s, took %s", held, age, took)
 		return
 	}
-	t.Fatal("the store confirmed the state during each of 100 answers")
+	t.Fatal("the store confirmed the state during each of 100 replies")
 }
--- a/internal/gateway/watch.go
+++ b/internal/gateway/watch.go
@@ -40,11 +40,11 @@
 	minHold = time.Millisecond
 )
 
-// watchLoop keeps the replica of one kind up to date. While other VMs ask this one, it
+// watchLoop keeps the replica of one kind up to date. While this VM watches the store, it
 // uses watches that the store holds; otherwise it calls the store only if no peer has
 // confirmed the replica for StaleAfter.
 func (g *Gateway) watchLoop(ctx context.Context, kind string) {
-	failures, historyGone, changed := 0, false, false
+	failures, historyExpired, changed := 0, false, false
 	for ctx.Err() == nil {
 		if _, due := g.storeCallDue(kind); !due {
 			g.waitForStoreCall(ctx, kind)
@@ -59,15 +59,15 @@
 			hold = min(hold, holdAfterEvents)
 		}
 		var err error
-		changed, err = g.refresh(ctx, kind, hold, historyGone)
-		historyGone = errors.Is(err, ErrHistoryGone)
+		changed, err = g.refresh(ctx, kind, hold, historyExpired)
+		historyExpired = errors.Is(err, ErrHistoryGone)
 		g.storeBackoff.recordResult(err)
 		g.knowledge.recordStoreCall(kind, err)
 		switch {
 		case err == nil && failures > 0:
 			g.log.Info("store: answers again", "kind", kind, "failures", failures)
 			failures = 0
-		case err == nil || historyGone:
+		case err == nil || historyExpired:
 		default:
 			if failures == 0 {
 				g.log.Info("store: does not answer", "kind", kind, "error", err.Error())
@@ -97,8 +97,8 @@
 	return min(max(g.cfg.WatchHold+maxSyncHold-age, minHold), g.cfg.WatchHold)
 }
 
-// waitForStoreCall waits until the replica of a kind is too old, or this VM is asked
-// to watch.
+// waitForStoreCall waits until the replica of a kind is too old, or this VM has to check
+// whether to watch the store.
 func (g *Gateway) waitForStoreCall(ctx context.Context, kind string) {
 	wait := g.cfg.StaleAfter - clock.Since(g.replica.ConfirmedAt(kind))
 	timer := time.NewTimer(max(wait, time.Millisecond))
@@ -118,7 +118,7 @@
 	if !known || list || g.replica.Inconsistent(kind) {
 		objects, at, err := g.cfg.Store.List(ctx, kind, false)
 		if err == nil {
-			g.recordStoreAnswer(clock.Now())
+			g.recordOutage(clock.Now())
 			g.replica.Reset(kind, objects, at)
 			g.replica.MarkConfirmed(kind, started)
 		}
@@ -128,7 +128,7 @@
 	if err != nil {
 		return false, err
 	}
-	g.recordStoreAnswer(clock.Now())
+	g.recordOutage(clock.Now())
 	g.replica.Apply(kind, since, events, at)
 	confirmed := started
 	if len(events) == 0 && hold > minHold {
--- a/internal/gateway/watchers.go
+++ b/internal/gateway/watchers.go
@@ -51,7 +51,7 @@
 	return &watchers{wake: make(chan struct{}), avoided: newAvoided()}
 }
 
-// watchesStore reports whether this VM watchesStore the store.
+// watchesStore reports whether this VM watches the store.
 func (g *Gateway) watchesStore() bool {
 	w := g.watchers
 	w.mu.Lock()
@@ -123,7 +123,7 @@
 }
 
 // isRegionRoot reports whether this VM would be the root of its region if no VM were
-// avoided. All VMs are avoided while the store answers none of them.
+// avoided. All VMs are avoided while the store responds to none of them.
 func (g *Gateway) isRegionRoot(now time.Time) bool {
 	return g.parentAmong(now, func(string) bool { return false }).ID == g.cfg.VM
 }
@@ -154,7 +154,7 @@
 	var current parentChoice
 	for ctx.Err() == nil {
 		if g.waitsForSeeds() {
-			sleep(ctx, seedInterval) // bootstrapLoop asks the seeds.
+			sleep(ctx, seedInterval) // bootstrapLoop queries the seeds.
 			continue
 		}
 		now := clock.Now()
@@ -194,7 +194,7 @@
 }
 
 // maxParentAge returns the age above which the state of a parent shows that the store
-// does not answer the root. It is half-way between the longest hold of a watch and the
+// does not respond to the root. It is half-way between the longest hold of a watch and the
 // age at which all VMs call the store themselves, but not less than a watch and a slow
 // store cause in normal operation. A lower limit would let VMs choose different roots,
 // and VMs with different roots do not receive each other's reports on workers. Each
--- a/internal/gateway/workspaces_test.go
+++ b/internal/gateway/workspaces_test.go
@@ -116,20 +116,20 @@
 	}
 }
 
-// Guards against unknown keys causing an unbounded rate of queries to peers.
+// Guards against unknown keys causing an unbounded rate of key fetches.
 func TestUnknownKeysAreRateLimited(t *testing.T) {
-	questions, now, queries := gateway.NewKeyQuestions(), time.Now(), 0
+	fetches, now, queries := gateway.NewKeyFetches(), time.Now(), 0
 	const tries, span = 5000, 10 * time.Second
 	for i := range tries {
-		if questions.Allows(workspace.DigestOf(fmt.Sprint("bad", i)), now.Add(time.Duration(i)*span/tries)) {
+		if fetches.BeginsFetch(workspace.DigestOf(fmt.Sprint("bad", i)), now.Add(time.Duration(i)*span/tries)) {
 			queries++
 		}
 	}
 	if queries < 30 || queries > 41 {
-		t.Errorf("%d queries in %s, want four a second", queries, span)
+		t.Errorf("%d fetches in %s, want four a second", queries, span)
 	}
-	if questions.Allows(workspace.DigestOf("again"), now.Add(2*span)) && questions.Allows(workspace.DigestOf("again"), now.Add(2*span+500*time.Millisecond)) {
-		t.Error("two queries within a second for one key")
+	if fetches.BeginsFetch(workspace.DigestOf("again"), now.Add(2*span)) && fetches.BeginsFetch(workspace.DigestOf("again"), now.Add(2*span+500*time.Millisecond)) {
+		t.Error("two fetches within a second for one key")
 	}
 }
 
@@ -211,7 +211,7 @@
 func TestStartingVMLearnsQuotaVMCount(t *testing.T) {
 	f := startWorkspaceFleet(t, 2, nil)
 	f.waitFor("both are listed", func() bool { return f.vms[0].ListedVMCount() == 2 })
-	if listed := f.vms[0].AnswerSync(context.Background(), &peerpb.Sync{}).GetListedVms(); listed != 2 {
+	if listed := f.vms[0].SyncReply(context.Background(), &peerpb.Sync{}).GetListedVms(); listed != 2 {
 		t.Errorf("the answer lists %d VMs, want 2", listed)
 	}
 	f.seeds = nil
--- a/scripts/switch-off.sh
+++ b/scripts/switch-off.sh
@@ -64,7 +64,7 @@
 		return list' ./coordination/placement TestHolderTable
 off holders-kept coordination/balance/balance.go 's.retainHolders(b.lastHolders, change)' '' ./coordination/balance TestKeysStayWhenAWorkerJoins
 off holders-gaps state/holders/holders.go 'd.Since > current.version ||' '' ./state/holders 'TestGapsAreNotMerged|TestFollowersConverge'
-off holders-spread internal/gateway/sync.go 'g.balancer.table.Merge(fromBalanced(answer.GetBalanced()))' '' ./internal/gateway TestVMsFollowOneTable
+off holders-spread internal/gateway/sync.go 'g.balancer.table.Merge(fromBalanced(reply.GetBalanced()))' '' ./internal/gateway TestVMsFollowOneTable
 off loads-shared internal/gateway/sync.go 'g.applyAndForwardLoads(request.GetLoads())' '' ./internal/gateway TestVMsShareTheLoadOfWorkers
 off losses-by-cause transport/ingress/losses.go 'case q.keyNewToWorker:' 'case false:' ./transport/ingress TestLossesByCause
 off usable-slots coordination/capacity/pool.go 'if p.inUse >= usable || len(p.order) == 0 {' 'if len(p.order) == 0 {' ./coordination/capacity TestNeverMoreThanUsable
@@ -84,7 +84,7 @@
 off closed-halls coordination/placement/handover.go '|| s.Closed[w.Hall] && !s.Closing[w.Hall].Open(now)' '' ./coordination/placement TestIneligibleWorkersGetNothing
 off homes coordination/placement/placement.go 'r.Allows != nil && !r.Allows(w.Region) {' 'r.Allows != nil && r.Allows == nil {' ./coordination/placement TestRegionsShare
 off split-corrects coordination/placement/split.go 'if surplus[chosen] > splitSlack {' 'if false && surplus[chosen] > splitSlack {' ./coordination/placement TestSplit
-off stale-calls-store internal/gateway/watch.go 'case time.Since(g.replica.Confirmed(kind)) >= g.cfg.StaleAfter:' 'case time.Since(g.replica.Confirmed(kind)) >= 100*g.cfg.StaleAfter:' ./internal/gateway TestChangesDoNotRestOnTheWatcher
+off stale-calls-store internal/gateway/watch.go 'case time.Since(g.replica.Confirmed(kind)) >= g.cfg.StaleAfter:' 'case time.Since(g.replica.Confirmed(kind)) >= 100*g.cfg.StaleAfter:' ./internal/gateway TestChangesDoNotDependOnTheWatcher
 off older-config internal/gateway/compile.go 'if c.routes != nil && cfg.Version < c.routes.Version() {' 'if false && cfg.Version < c.routes.Version() {' ./internal/gateway TestWorkersAndHalls
 off replica-list-leaves-a-gap state/object/kind.go 'k.gaps = append(k.gaps, gap{from: k.revision, to: upTo})' '_ = gap{from: k.revision, to: upTo}' ./state/object TestDeletionBetweenLists
 off replica-list-keeps-history state/object/kind.go 'if !k.initialized {
@@ -101,7 +101,7 @@
 off quota-starts-empty coordination/ratelimit/local.go 'b := &bucket{lastRefill: s.createdAt}' 'b := &bucket{lastRefill: s.createdAt, tokens: 1e9}' ./coordination/ratelimit TestRestartsAndNewPoolsAddNoTokens
 off bound-slots coordination/placement/share.go 'if r.unrestricted(regions) {' 'if false {' ./coordination/placement TestPinnedRequestsReduceKeptKeys
 off quota-turns coordination/ratelimit/pool.go 'b.promised = b.promised.Add(time.Duration(float64(time.Second) / f.rate))' '_ = f' ./coordination/ratelimit TestRefusedRequestsComeBackInTurn
-off answer-time-is-not-held internal/gateway/sync.go 'reply.HeldMillis = uint32(held.Milliseconds())' 'reply.HeldMillis = uint32(time.Since(received).Milliseconds())' ./internal/gateway TestTimeSpentOnAnAnswer
+off answer-time-is-not-held internal/gateway/sync.go 'reply.HeldMillis = uint32(held.Milliseconds())' 'reply.HeldMillis = uint32(time.Since(received).Milliseconds())' ./internal/gateway TestTimeToBuildAReply
 off watcher-passed-over internal/gateway/watchers.go 'case age > g.maxParentAge(parent) &&' 'case false &&' ./internal/gateway TestWatcherWithoutStore
 off watch-held-for-less internal/gateway/watch.go 'return min(max(g.cfg.WatchHold+maxSyncHold-age, minHold)' 'return min(max(g.cfg.WatchHold+maxSyncHold-0*age, minHold)' ./internal/gateway TestWatchIsHeldForLess
 off start-is-told-first internal/daemon/greet.go 'for d.store.VMs().Version == 0 &&' 'if d.greeted.Store(true); ctx.Err() == nil {
@@ -110,9 +110,9 @@
 	for d.store.VMs().Version == 0 &&' ./internal/fleet TestUpstreamsHaveOneOwner
 off greeting-ends-the-pause transport/peer/stream.go 'm.resetBackoff(id.VM)' '' ./transport/peer TestPeerThatGreets
 off answers-have-an-end internal/gateway/peers.go 's.SetWriteDeadline(time.Now().Add(replyTimeout(first)))' '_ = replyTimeout' ./internal/gateway TestPeersThatDoNotRead
-off loads-told-once internal/gateway/loads.go 'after = mark.GetNumber()' '' ./internal/gateway TestLoadsAreToldOnce
-off large-parts-bounded internal/gateway/largereplies.go 'if c.inFlight >= maxLargeReplies {' 'if false {' ./internal/gateway TestLargeParts
-off doubt-leads-to-a-list internal/gateway/watch.go 'if !known || list || g.replica.Inconsistent(kind) {' 'if !known || list {' ./internal/gateway TestDoubtedKindIsRead
+off loads-told-once internal/gateway/loads.go 'after = mark.GetNumber()' '' ./internal/gateway TestLoadReportsAreSentOnce
+off large-parts-bounded internal/gateway/largereplies.go 'if l.inFlight >= maxLargeReplies {' 'if false {' ./internal/gateway TestLargeParts
+off doubt-leads-to-a-list internal/gateway/watch.go 'if !known || list || g.replica.Inconsistent(kind) {' 'if !known || list {' ./internal/gateway TestInconsistentKindIsListed
 off replica-newer-than-list state/object/kind.go 'if e.Revision <= d.UpTo {' 'if true {' ./state/object TestListWithNewerObjects
 off listed-shows-what-is-missing state/object/kind.go 'k.inconsistent = true' '' ./state/object TestDeltas
 off list-of-one-revision platform/list.go 'rest...), events), at, err' 'rest...), events[:0]), at, err' ./platform TestListOfPages
@@ -120,9 +120,9 @@
 off tree-depth internal/gateway/sync.go 'request.GetHoldMillis() > 0 && request.GetDepth() <= 1' 'request.GetHoldMillis() > 0' ./internal/gateway 'TestDeepTree$'
 off turns-at-the-start internal/gateway/start.go 'min(time.Duration(rank)*listStagger, maxListDelay)' 'min(0*time.Duration(rank), maxListDelay)' ./internal/gateway TestAllVMsReturn
 off packed-is-news internal/gateway/sync.go '|| len(d.GetPacked()) > 0' '' ./internal/gateway TestLargeDeltas
-off ended-workers-told transport/ingress/attempt.go 'c.Load().MarkAddressReused()' '' ./internal/gateway TestVMsHearThat
+off ended-workers-told transport/ingress/attempt.go 'c.Load().MarkAddressReused()' '' ./internal/gateway TestVMsShareThat
 off keys-handed-over coordination/placement/handover.go 'rand.Float64() < max(' 'rand.Float64() < 1+max(' ./coordination/placement TestKeysAreHandedOver
-off gate-of-all-kinds internal/gateway/storebackoff.go 'if g.failures == 0 {' 'if g.failures >= 0 {' ./internal/gateway TestCallsToAStore
+off gate-of-all-kinds internal/gateway/storebackoff.go 'if b.failures == 0 {' 'if b.failures >= 0 {' ./internal/gateway TestCallsToAStore
 off no-copies-for-a-region state/object/replica.go 'd.Listed, d.Listing = true, k.listing()
 		d.Events = k.eventsAfter(revision)' 'd.Full, d.Since = true, 0
 		d.Events = k.eventsAfter(0)' ./internal/gateway TestRegionKeepsUp state/object/replica.go 'case k.historyCovers(revision):' 'case false:'
@@ -152,14 +152,14 @@
 off refute coordination/membership/membership.go 't.self.Incarnation = m.Incarnation + 1' '' ./coordination/membership 'TestPartitionedHall|TestFrozen'
 off controller-back coordination/controller/controller.go 'case free < headroom/2 && m.Share > 0 || s.Usable == 0:' 'case false:' ./coordination/controller TestRules
 off controller-stale coordination/controller/controller.go 'if !ok || source.Age(f.Now) > intent.MaxStatusAge {' 'if !ok {' ./coordination/controller TestRules
-off quarantine-found internal/gateway/quarantine.go 'if !g.quarantines.table.Hear(e) {' 'if true {' ./internal/gateway 'TestRequestThatEndsWorkers/plain'
-off quarantine-told internal/gateway/quarantine.go 'go g.broadcastQuarantine([]quarantine.Entry{e}, nil)' '' ./internal/gateway TestAllVMsAreTold
+off quarantine-found internal/gateway/quarantine.go 'if !g.quarantines.table.Merge(e) {' 'if true {' ./internal/gateway 'TestRequestThatEndsWorkers/plain'
+off quarantine-told internal/gateway/quarantine.go 'go g.broadcastQuarantine([]quarantine.Entry{e}, nil)' '' ./internal/gateway TestQuarantinesReachAllVMs
 off quarantine-kept internal/gateway/quarantinestore.go 'err := g.saveQuarantine(ctx, unsaved)' 'err := g.saveQuarantine(ctx, nil)' ./platform 'TestSessions/quarantine'
 off quarantine-answered coordination/poison/poison.go 'ok && !s.found {
 		delete' 'ok && !s.found && false {
 		delete' ./coordination/poison TestDetector
 off quarantine-explained coordination/poison/poison.go 'c.explained = true' '_ = c' ./coordination/poison TestDetector
-off soak-poison internal/gateway/quarantine.go 'if !g.quarantines.table.Hear(e) {' 'if true {' ./platform 'TestSoak/seed_9002'
+off soak-poison internal/gateway/quarantine.go 'if !g.quarantines.table.Merge(e) {' 'if true {' ./platform 'TestSoak/seed_9002'
 off lives-apart state/worker/worker.go 'return id + "@" + strconv.FormatUint(start, 36)' 'return id + strconv.FormatUint(start, 36)[:0]' ./internal/gateway TestEarlierIncarnationState
 off older-life internal/gateway/compile.go 'if w.Start < previous.Start {' 'if false {' ./internal/gateway TestNewestIncarnation
 off returned-cold coordination/placement/placement.go 'return service.ColdRate > 0 && load.MayBeCold(' 'return service.ColdRate < 0 && load.MayBeCold(' ./internal/gateway TestWorkersThatReturn
@@ -167,10 +167,10 @@
 off entries-one-by-one platform/store.go 'if json.Unmarshal(item, &o) == nil && o.Metadata.Name != "" {' 'if err := json.Unmarshal(item, &o); err != nil {
 			return err
 		} else {' ./platform TestNeighboursOfFaulty
-off leaving-heard transport/ingress/signals.go 'if cfg.Dialect.Leaving(header) {' 'if false && cfg.Dialect.Leaving(header) {' ./internal/gateway TestWorkerThatSaysItLeaves
+off leaving-heard transport/ingress/signals.go 'if cfg.Dialect.Leaving(header) {' 'if false && cfg.Dialect.Leaving(header) {' ./internal/gateway TestWorkerThatAnnouncesLeaving
 off rests-heard transport/ingress/signals.go 'cfg.Dialect.Backoff(status, header); asked {' 'cfg.Dialect.Backoff(status, header); asked && false {' ./internal/gateway TestWorkersThatAskForRest
 off own-words-only transport/ingress/attempt.go 'if failed.Kind() != upstream.KindWrongWorker {' 'if true {' ./transport/ingress TestLeavingSignal
-off leaving-told-on internal/gateway/signals.go 'if leaving := signals.Leaving; !leaving' 'if leaving := signals.Leaving; false && !leaving' ./internal/gateway TestVMsTellEachOtherWhoLeaves
+off leaving-told-on internal/gateway/signals.go 'if leaving := signals.Leaving; !leaving' 'if leaving := signals.Leaving; false && !leaving' ./internal/gateway TestVMsShareLeavingSignals
 off limit-permits internal/gateway/gateway.go 'Demand: g.balancer.meter, Permits: g.permits,' 'Demand: g.balancer.meter,' ./internal/gateway TestWorkersThatNameALimit
 off limit-one-issuer internal/gateway/permits.go '!found || vm != p.gateway.cfg.VM {' '!found || vm == "" {' ./internal/gateway TestOnlyTheIssuerHandsOut
 off limit-isolated coordination/ratelimit/issuer.go 'if 2*d.LiveVMs < d.ListedVMs {' 'if false {' ./coordination/ratelimit TestIssuersStayWithinTheLimit
@@ -182,7 +182,7 @@
 off soak-limit internal/gateway/gateway.go 'Demand: g.balancer.meter, Permits: g.permits,' 'Demand: g.balancer.meter,' ./platform 'TestSoak$/seed_21004'
 off lapsed-tells-of-no-end coordination/placement/placement.go 'if !w.Confirmed.IsZero() {' 'if false {' ./internal/gateway TestLapsedEntryTells
 off ends-heeded-at-once state/worker/loads.go 'return confirmed.Before(started) ||' 'return' ./internal/gateway TestWorkerThatReturnsAs
-off ended-told internal/gateway/signals.go 'signals.Ended; silent &&' 'signals.Ended; false && silent &&' ./internal/gateway TestVMsTellEachOtherWhoHasEnded
+off ended-told internal/gateway/signals.go 'signals.Ended; silent &&' 'signals.Ended; false && silent &&' ./internal/gateway TestVMsShareSuspectedExits
 off word-outlives-entry state/worker/signal.go 'now.Sub(s.leaving.ObservedAt) < leavingRetention)' 'false)' ./state/worker TestLeavingOutlives
 off earliest-word-binds state/worker/signal.go 'first || s.Until.Before(l.signals.leaving.Until)' 'true' ./state/worker TestEarliestLeaving
 off rest-to-its-end state/worker/signal.go 'end.After(s.restEnd) {' 'true || end.After(s.restEnd) {' ./state/worker TestRestIsNotShortened
--- a/state/quarantine/quarantine.go
+++ b/state/quarantine/quarantine.go
@@ -12,7 +12,7 @@
 // # Usage
 //
 //	table := quarantine.NewTable()
-//	table.Hear(entry)
+//	table.Merge(entry)
 //	if entry, held := table.Find(target, fingerprint, time.Now()); held { /* do not send it */ }
 package quarantine
 
--- a/state/quarantine/table.go
+++ b/state/quarantine/table.go
@@ -48,9 +48,9 @@
 	return e, ok
 }
 
-// Hear adds an entry and reports whether it was newer than the known one. A full
+// Merge adds an entry unless a newer one is known, and reports whether it did. A full
 // table evicts the entry with the lowest count, and of those the first to end.
-func (t *Table) Hear(e Entry) bool {
+func (t *Table) Merge(e Entry) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.merge(e)
--- a/state/quarantine/table_test.go
+++ b/state/quarantine/table_test.go
@@ -30,7 +30,7 @@
 			_, held := table.Find(e.TargetHash, func() quarantine.Fingerprint { return e.Fingerprint }, at)
 			return held
 		}
-		So(table.Hear(e), ShouldBeTrue)
+		So(table.Merge(e), ShouldBeTrue)
 		Convey("quarantines a request until its term ends, and keeps the entry", func() {
 			So(find(now), ShouldBeTrue)
 			So(find(e.Until), ShouldBeFalse)
@@ -43,8 +43,8 @@
 		})
 		Convey("accepts a renewed entry and ignores older ones", func() {
 			again := e.Renewed(e.Until)
-			So(table.Hear(again), ShouldBeTrue)
-			So(table.Hear(e), ShouldBeFalse)
+			So(table.Merge(again), ShouldBeTrue)
+			So(table.Merge(e), ShouldBeFalse)
 			So(find(again.Since), ShouldBeTrue)
 			So(table.Len(), ShouldEqual, 1)
 		})
@@ -52,12 +52,12 @@
 			So(table.Unstored(), ShouldHaveLength, 1)
 			table.SyncStored([]quarantine.Entry{e})
 			So(table.Unstored(), ShouldBeEmpty)
-			table.Hear(e.Renewed(e.Until))
+			table.Merge(e.Renewed(e.Until))
 			So(table.Unstored(), ShouldHaveLength, 1)
 		})
 		Convey("deletes entries that were removed from the store", func() {
 			unsaved := newEntry("/heard", 1, now)
-			table.Hear(unsaved)
+			table.Merge(unsaved)
 			table.SyncStored([]quarantine.Entry{e})
 			table.SyncStored(nil)
 			So(find(now), ShouldBeFalse)
@@ -65,9 +65,9 @@
 			So(known, ShouldBeTrue)
 		})
 		Convey("is bounded, and evicts entries with the lowest count first", func() {
-			table.Hear(e.Renewed(e.Until))
+			table.Merge(e.Renewed(e.Until))
 			for i := range 2 * quarantine.MaxEntries {
-				table.Hear(newEntry(fmt.Sprint("/", i), 1, now.Add(time.Duration(i)*time.Millisecond)))
+				table.Merge(newEntry(fmt.Sprint("/", i), 1, now.Add(time.Duration(i)*time.Millisecond)))
 			}
 			So(table.Len(), ShouldEqual, quarantine.MaxEntries)
 			_, known := table.Get(e.Fingerprint)
