--- a/internal/gateway/config.go
+++ b/internal/gateway/config.go
@@ -29,9 +29,9 @@
 // ErrConfig reports invalid settings; its text names each field.
 var ErrConfig = errors.New("gateway: invalid settings")
 
-// ErrHistoryGone is returned by Store.Watch for a revision whose history the store no
+// ErrHistoryExpired is returned by Store.Watch for a revision whose history the store no
 // longer has.
-var ErrHistoryGone = errors.New("gateway: the store has forgotten that history")
+var ErrHistoryExpired = errors.New("gateway: the store has forgotten that history")
 
 // Errors of a Store's calls on single objects.
 var (
--- a/internal/gateway/fake_test.go
+++ b/internal/gateway/fake_test.go
@@ -295,7 +295,7 @@
 		at, changed, compactedAt := d.store.revision, d.store.changed, d.store.compactedAt
 		d.store.mu.Unlock()
 		if since < compactedAt {
-			return nil, 0, gateway.ErrHistoryGone
+			return nil, 0, gateway.ErrHistoryExpired
 		}
 		if len(events) > 0 {
 			return events, at, nil
--- a/internal/gateway/rolloutloop.go
+++ b/internal/gateway/rolloutloop.go
@@ -69,7 +69,7 @@
 		}
 		g.storeBackoff.wait(ctx, g.maxStoreBackoff())
 		_, err := g.refresh(ctx, kind, rolloutWatchHold, historyExpired)
-		historyExpired = errors.Is(err, ErrHistoryGone)
+		historyExpired = errors.Is(err, ErrHistoryExpired)
 		g.storeBackoff.recordResult(err)
 		g.knowledge.recordStoreCall(kind, err)
 	}
--- a/internal/gateway/storebackoff.go
+++ b/internal/gateway/storebackoff.go
@@ -60,7 +60,7 @@
 func (b *storeBackoff) recordResult(err error) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if err == nil || errors.Is(err, ErrHistoryGone) {
+	if err == nil || errors.Is(err, ErrHistoryExpired) {
 		b.failures = 0
 		return
 	}
--- a/internal/gateway/watch.go
+++ b/internal/gateway/watch.go
@@ -60,7 +60,7 @@
 		}
 		var err error
 		changed, err = g.refresh(ctx, kind, hold, historyExpired)
-		historyExpired = errors.Is(err, ErrHistoryGone)
+		historyExpired = errors.Is(err, ErrHistoryExpired)
 		g.storeBackoff.recordResult(err)
 		g.knowledge.recordStoreCall(kind, err)
 		switch {
--- a/internal/program/gateway.go
+++ b/internal/program/gateway.go
@@ -96,7 +96,7 @@
 func meant(err error) error {
 	switch {
 	case errors.Is(err, platform.ErrHistoryExpired):
-		return errors.Mark(err, gateway.ErrHistoryGone)
+		return errors.Mark(err, gateway.ErrHistoryExpired)
 	case errors.Is(err, platform.ErrNotFound):
 		return errors.Mark(err, gateway.ErrNotFound)
 	case errors.Is(err, platform.ErrConflict):
